--- a/src/main/java/org/apricotgauge/bench/ControlStateCost.java
+++ b/src/main/java/org/apricotgauge/bench/ControlStateCost.java
@@ -9,11 +9,11 @@
 import org.apricotgauge.decision.gossip.GossipNode;
 import org.apricotgauge.decision.gossip.GossipSettings;
 import org.apricotgauge.decision.gossip.LeavingNotice;
-import org.apricotgauge.decision.gossip.LiveView;
 import org.apricotgauge.decision.gossip.NodeIdentity;
 import org.apricotgauge.decision.gossip.PeerMessage;
-import org.apricotgauge.decision.gossip.PeerPort;
-import org.apricotgauge.decision.gossip.Summary;
+import org.apricotgauge.decision.gossip.PeerTransport;
+import org.apricotgauge.decision.gossip.StateSummary;
+import org.apricotgauge.decision.gossip.VmView;
 import org.apricotgauge.decision.gossip.WatcherElection;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Vm;
@@ -34,7 +34,7 @@
 
     /** Sends nothing and hears nothing. */
     private static final class Nowhere
-            implements PeerPort<ChainFold.Chain>, GossipListener<ChainFold.Chain> {
+            implements PeerTransport<ChainFold.Chain>, GossipListener<ChainFold.Chain> {
         private final List<Long> mDialled = new ArrayList<>();
 
         @Override
@@ -49,16 +49,16 @@
         public void close(long link) {}
 
         @Override
-        public void encode(ChainFold.Chain history) {}
+        public void encodeSnapshot(ChainFold.Chain history) {}
 
         @Override
-        public void decode(List<byte[]> chunks) {}
+        public void decodeSnapshot(List<byte[]> chunks) {}
 
         @Override
         public void onHistory(ChainFold.Chain history) {}
 
         @Override
-        public void onView(LiveView view) {}
+        public void onView(VmView view) {}
 
         @Override
         public void onLeaving(LeavingNotice notice) {}
@@ -96,7 +96,7 @@
                 node.view().size(),
                 heldBytes / BYTES_PER_MEGABYTE,
                 tickMicros,
-                node.links(),
+                node.establishedLinks(),
                 electionMicros);
     }
 
@@ -115,7 +115,7 @@
 
     private static long link(GossipNode<ChainFold.Chain> node, Nowhere nowhere) {
         long nowMillis = 0;
-        Summary summary = node.summary();
+        StateSummary summary = node.summary();
         for (int i = 1; i <= LINKS / 2; i++) {
             PeerMessage hello =
                     new PeerMessage.Hello(
@@ -123,7 +123,7 @@
             node.onAccepted(-i, nowMillis);
             node.onMessage(-i, hello, nowMillis);
         }
-        while (node.links() < LINKS) {
+        while (node.establishedLinks() < LINKS) {
             nowMillis += TICK_MILLIS;
             node.tick(nowMillis);
             for (long link : nowhere.mDialled) {
@@ -160,7 +160,7 @@
         int watching = 0;
         long startNanos = System.nanoTime();
         for (int i = 0; i < ELECTIONS; i++) {
-            LiveView view = node.view();
+            VmView view = node.view();
             WatcherElection.Role role =
                     WatcherElection.roleOf(
                             vm(i), view.nodes(), view::unreachable, node::lostPlatform);
--- a/src/main/java/org/apricotgauge/control/ControlListener.java
+++ b/src/main/java/org/apricotgauge/control/ControlListener.java
@@ -4,7 +4,7 @@
 import org.apricotgauge.decision.gossip.GossipEvent;
 import org.apricotgauge.decision.gossip.GossipItem;
 import org.apricotgauge.decision.gossip.LeavingNotice;
-import org.apricotgauge.decision.gossip.LiveView;
+import org.apricotgauge.decision.gossip.VmView;
 import org.apricotgauge.event.HlcTimestamp;
 
 /**
@@ -28,7 +28,7 @@
     default void onHistory(H history) {}
 
     /** What is known of the VMs changed. */
-    default void onView(LiveView view) {}
+    default void onView(VmView view) {}
 
     /** A node told that it or a target is leaving. */
     default void onLeaving(LeavingNotice notice) {}
--- a/src/main/java/org/apricotgauge/control/ControlPlane.java
+++ b/src/main/java/org/apricotgauge/control/ControlPlane.java
@@ -15,11 +15,11 @@
 import org.apricotgauge.decision.gossip.GossipListener;
 import org.apricotgauge.decision.gossip.GossipNode;
 import org.apricotgauge.decision.gossip.LeavingNotice;
-import org.apricotgauge.decision.gossip.LiveView;
 import org.apricotgauge.decision.gossip.NodeIdentity;
-import org.apricotgauge.decision.gossip.OpeningPolicy;
 import org.apricotgauge.decision.gossip.PeerMessage;
-import org.apricotgauge.decision.gossip.PeerPort;
+import org.apricotgauge.decision.gossip.PeerTransport;
+import org.apricotgauge.decision.gossip.ReadinessPolicy;
+import org.apricotgauge.decision.gossip.VmView;
 import org.apricotgauge.decision.gossip.WatcherElection;
 import org.apricotgauge.event.HlcTimestamp;
 import org.apricotgauge.model.Address;
@@ -57,13 +57,13 @@
     private final PeerLoop mLoop;
     private final GossipNode<H> mNode;
     private final PlatformReader<H> mPlatform;
-    private final OpeningPolicy mOpening;
+    private final ReadinessPolicy mOpening;
     private final AtomicReference<H> mHistory;
-    private final AtomicReference<LiveView> mView = new AtomicReference<>(LiveView.EMPTY);
+    private final AtomicReference<VmView> mView = new AtomicReference<>(VmView.EMPTY);
     private final CompletableFuture<Void> mOpened = new CompletableFuture<>();
     private final long mStartedMillis;
-    private volatile OpeningPolicy.Decision mDecision = OpeningPolicy.Decision.WAIT_ALONE;
-    private volatile WatcherElection.Role mRole = WatcherElection.Role.REST;
+    private volatile ReadinessPolicy.Decision mDecision = ReadinessPolicy.Decision.NO_RESPONSE;
+    private volatile WatcherElection.Role mRole = WatcherElection.Role.PASSIVE;
 
     private ControlPlane(
             ControlSettings settings,
@@ -81,7 +81,7 @@
         mLoop = loop;
         mHistory = new AtomicReference<>(fold.empty());
         mStartedMillis = mTicker.millis();
-        mOpening = new OpeningPolicy(settings.patienceMillis());
+        mOpening = new ReadinessPolicy(settings.patienceMillis());
         NodeIdentity identity =
                 new NodeIdentity(
                         settings.site(), settings.vm(), settings.incarnation(), settings.seeds());
@@ -150,7 +150,7 @@
     }
 
     /** Returns what is known of the VMs; a request reads it once. */
-    public LiveView liveView() {
+    public VmView liveView() {
         return mView.get();
     }
 
@@ -159,7 +159,7 @@
      * somebody confirmed its version. Cheap enough for each request.
      */
     public boolean mayAct() {
-        return mNode.freshness().mayAct(mTicker.millis());
+        return mNode.stalenessGate().mayAct(mTicker.millis());
     }
 
     /** Returns a future that completes once the node may open to callers. */
@@ -168,7 +168,7 @@
     }
 
     /** Returns what a fresh node waits for, or {@code OPEN}. */
-    public OpeningPolicy.Decision opening() {
+    public ReadinessPolicy.Decision opening() {
         return mDecision;
     }
 
@@ -247,18 +247,18 @@
     }
 
     private void decideOpening(long nowMillis) {
-        OpeningPolicy.Observation seen =
-                new OpeningPolicy.Observation(
+        ReadinessPolicy.Observation seen =
+                new ReadinessPolicy.Observation(
                         mNode.position(),
-                        Math.max(mNode.highestHeard(), mPlatform.head()),
+                        Math.max(mNode.highestKnownPosition(), mPlatform.head()),
                         mPlatform.answered(),
                         mPlatform.failed(),
                         mNode.vmRevision() > 0 || mPlatform.vmsListed(),
-                        mNode.domainsHeard(),
-                        mNode.domainsKnown(),
+                        mNode.respondingDomains(),
+                        mNode.knownDomains(),
                         nowMillis - mStartedMillis);
         mDecision = mOpening.decide(seen);
-        if (mDecision == OpeningPolicy.Decision.OPEN) {
+        if (mDecision == ReadinessPolicy.Decision.READY) {
             LOGGER.infof("%s opens at log position %d", vm().id(), mNode.position());
             mOpened.complete(null);
         }
@@ -282,7 +282,7 @@
     }
 
     /** The transport as the state machine sees it. */
-    private final class Port implements PeerPort<H> {
+    private final class Port implements PeerTransport<H> {
         @Override
         public void dial(long link, Address address) {
             mLoop.dial(link, address);
@@ -302,22 +302,23 @@
         }
 
         @Override
-        public void encode(H history) {
+        public void encodeSnapshot(H history) {
             ForkJoinPool.commonPool()
                     .execute(
                             () -> {
                                 List<byte[]> chunks = mFold.encode(history);
-                                mLoop.execute(() -> mNode.onEncoded(chunks, mTicker.millis()));
+                                mLoop.execute(
+                                        () -> mNode.onSnapshotEncoded(chunks, mTicker.millis()));
                             });
         }
 
         @Override
-        public void decode(List<byte[]> chunks) {
+        public void decodeSnapshot(List<byte[]> chunks) {
             ForkJoinPool.commonPool()
                     .execute(
                             () -> {
                                 H snapshot = decodeOrNull(chunks);
-                                mLoop.execute(() -> mNode.onDecoded(snapshot));
+                                mLoop.execute(() -> mNode.onSnapshotDecoded(snapshot));
                             });
         }
 
@@ -391,7 +392,7 @@
         }
 
         @Override
-        public void onView(LiveView view) {
+        public void onView(VmView view) {
             mView.set(view);
             mListener.onView(view);
         }
--- a/src/main/java/org/apricotgauge/control/PlatformReader.java
+++ b/src/main/java/org/apricotgauge/control/PlatformReader.java
@@ -51,7 +51,7 @@
     private final CallStream mLog;
     private final CallStream mVms;
     private final CallStream mHead;
-    private WatcherElection.Role mRole = WatcherElection.Role.REST;
+    private WatcherElection.Role mRole = WatcherElection.Role.PASSIVE;
     private long mNextElectionMillis;
     private long mNextLostMillis;
     private long mPlatformHead = -1;
@@ -124,7 +124,7 @@
             mNextElectionMillis = nowMillis + ELECTION_MILLIS;
             elect(nowMillis);
         }
-        if (mNode.links() > 0) {
+        if (mNode.establishedLinks() > 0) {
             mPeerlessSinceMillis = nowMillis;
         }
         readHead(nowMillis);
@@ -132,7 +132,7 @@
         readLog(nowMillis);
         if (mLost && nowMillis >= mNextLostMillis) {
             mNextLostMillis = nowMillis + LOST_REFRESH_MILLIS;
-            mNode.announceWatch(true, nowMillis);
+            mNode.announcePlatformState(true, nowMillis);
         }
     }
 
@@ -143,7 +143,7 @@
                         mNode.view().nodes(),
                         mNode.view()::unreachable,
                         mNode::lostPlatform);
-        if (mRole == WatcherElection.Role.REST) {
+        if (mRole == WatcherElection.Role.PASSIVE) {
             mElectedSinceMillis = nowMillis;
         }
     }
@@ -194,7 +194,7 @@
      */
     private boolean watching(long nowMillis) {
         boolean elected =
-                mRole != WatcherElection.Role.REST
+                mRole != WatcherElection.Role.PASSIVE
                         && nowMillis - mElectedSinceMillis > STABLE_MILLIS;
         boolean peerless = nowMillis - mPeerlessSinceMillis > STABLE_MILLIS;
         return !mHeadWanted && (elected || peerless);
@@ -303,12 +303,12 @@
         }
         if (mLost) {
             mLost = false;
-            mNode.announceWatch(false, nowMillis);
+            mNode.announcePlatformState(false, nowMillis);
         }
     }
 
     private void noteLoss(CallStream stream, long nowMillis) {
-        boolean candidate = mRole != WatcherElection.Role.REST;
+        boolean candidate = mRole != WatcherElection.Role.PASSIVE;
         if (candidate && !mLost && stream.mBackoff.failures() >= LOST_AFTER_FAILURES) {
             mLost = true;
             mNextLostMillis = nowMillis;
--- a/src/main/java/org/apricotgauge/decision/gossip/Announcer.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Announcer.java
@@ -9,12 +9,12 @@
 final class Announcer {
     private static final long LIFETIME_MILLIS = GossipItem.MAX_LIFETIME_MILLIS;
     private static final long WATCH_LIFETIME_MILLIS = 60_000;
-    private static final byte[] LOST = {0};
-    private static final byte[] FOUND = {1};
+    private static final byte[] PLATFORM_LOST = {0};
+    private static final byte[] PLATFORM_RESTORED = {1};
 
     private final GossipContext mContext;
     private final ItemGossip mItems;
-    private final Set<String> mLeaving = new LinkedHashSet<>();
+    private final Set<String> mLeavingTargets = new LinkedHashSet<>();
     private long mIncarnation;
     private long mWatchSequence;
 
@@ -29,47 +29,47 @@
         return mIncarnation;
     }
 
-    boolean leavingWhole() {
-        return mLeaving.contains(LeavingNotice.WHOLE_VM);
+    boolean isVmLeaving() {
+        return mLeavingTargets.contains(LeavingNotice.WHOLE_VM);
     }
 
     /** Returns whether this run said that the target, or the whole VM, is leaving. */
-    boolean saidLeaving(String target) {
-        return mLeaving.contains(target);
+    boolean hasAnnouncedLeaving(String target) {
+        return mLeavingTargets.contains(target);
     }
 
     /** Returns what this run says of itself, for a peer that may not know the run yet. */
-    List<GossipItem> statements() {
+    List<GossipItem> ownItems() {
         List<GossipItem> statements = new ArrayList<>();
         String self = mContext.self().id();
         statements.add(mItems.store().get(GossipItem.Kind.LIVENESS, self, ""));
-        for (String target : mLeaving) {
+        for (String target : mLeavingTargets) {
             statements.add(mItems.store().get(GossipItem.Kind.LEAVING, self, target));
         }
         statements.removeIf(item -> item == null);
         return statements;
     }
 
-    void alive(long nowMillis) {
+    void announceAlive(long nowMillis) {
         publish(
                 GossipItem.Kind.LIVENESS,
                 "",
                 2 * mIncarnation,
-                VmPayload.of(mContext.self()),
+                ItemPayloads.encode(mContext.self()),
                 nowMillis);
     }
 
-    void leaving(String target, long nowMillis) {
-        mLeaving.add(target);
+    void announceLeaving(String target, long nowMillis) {
+        mLeavingTargets.add(target);
         publish(
                 GossipItem.Kind.LEAVING,
                 target,
                 mIncarnation,
-                VmPayload.of(mIncarnation),
+                ItemPayloads.encode(mIncarnation),
                 nowMillis);
     }
 
-    void watch(boolean lost, long nowMillis) {
+    void announcePlatformState(boolean lost, long nowMillis) {
         GossipItem item =
                 new GossipItem(
                         GossipItem.Kind.WATCH,
@@ -77,7 +77,7 @@
                         "",
                         ++mWatchSequence,
                         WATCH_LIFETIME_MILLIS,
-                        lost ? LOST : FOUND);
+                        lost ? PLATFORM_LOST : PLATFORM_RESTORED);
         mItems.publish(item, nowMillis);
     }
 
@@ -92,12 +92,14 @@
             return; // no run of this node said that; there would be no later incarnation left
         }
         mIncarnation = Math.max(mIncarnation, heardIncarnation) + 1;
-        alive(nowMillis);
-        Set.copyOf(mLeaving).forEach(target -> leaving(target, nowMillis));
+        announceAlive(nowMillis);
+        Set.copyOf(mLeavingTargets).forEach(target -> announceLeaving(target, nowMillis));
     }
 
-    static boolean lost(GossipItem watch) {
-        return watch != null && watch.payload().length > 0 && watch.payload()[0] == LOST[0];
+    static boolean reportsPlatformLost(GossipItem watch) {
+        return watch != null
+                && watch.payload().length > 0
+                && watch.payload()[0] == PLATFORM_LOST[0];
     }
 
     private void publish(
--- a/src/main/java/org/apricotgauge/decision/gossip/Dissemination.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Dissemination.java
@@ -18,43 +18,44 @@
 
     /** Told what changed. */
     interface Listener {
-        void onAdvanced();
+        void onHistoryAdvanced();
 
         /** All peers but the source are to hear what this node now holds. */
         void announce(Link source);
     }
 
     private final GossipContext mContext;
-    private final PeerPort<H> mPort;
+    private final PeerTransport<H> mTransport;
     private final Replica<H> mReplica;
     private final Listener mListener;
-    private final SnapshotDonor<H> mDonor;
-    private long mPullUntilMillis;
+    private final SnapshotServer<H> mSnapshotServer;
+    private long mPullDeadlineMillis;
     private SnapshotFetch mFetch;
 
-    Dissemination(GossipContext context, PeerPort<H> port, ConfigFold<H> fold, Listener listener) {
+    Dissemination(
+            GossipContext context, PeerTransport<H> port, ConfigFold<H> fold, Listener listener) {
         mContext = context;
-        mPort = port;
+        mTransport = port;
         mReplica = new Replica<>(fold);
         mListener = listener;
-        mDonor = new SnapshotDonor<>(port, mReplica);
+        mSnapshotServer = new SnapshotServer<>(port, mReplica);
     }
 
     Replica<H> replica() {
         return mReplica;
     }
 
-    SnapshotDonor<H> donor() {
-        return mDonor;
+    SnapshotServer<H> snapshotServer() {
+        return mSnapshotServer;
     }
 
     /** Takes in what a peer says that it holds. */
-    void onSummary(Link link, Summary summary, long nowMillis) {
+    void onSummary(Link link, StateSummary summary, long nowMillis) {
         link.mSummary = summary;
         switch (mReplica.relation(summary.position(), summary.digest())) {
             case CONFLICT -> onConflict(link);
             case AHEAD -> pullFrom(link, nowMillis);
-            default -> link.mConflict = false;
+            default -> link.mHistoryConflict = false;
         }
     }
 
@@ -70,22 +71,22 @@
         List<DigestedRecord> records =
                 mReplica.retainedAfter(request.afterPosition(), PULL_MAX_CHARS);
         if (records.isEmpty()) {
-            mDonor.serve(link.mId, 0, 0);
+            mSnapshotServer.serve(link.mId, 0, 0);
         } else {
-            mPort.send(link.mId, new PeerMessage.Entries(records));
+            mTransport.send(link.mId, new PeerMessage.Entries(records));
         }
     }
 
     void onEntries(Link link, List<DigestedRecord> records, long nowMillis) {
-        mPullUntilMillis = 0;
+        mPullDeadlineMillis = 0;
         List<DigestedRecord> applied = new ArrayList<>();
         for (DigestedRecord entry : records) {
-            if (!takeIn(link, entry, applied, nowMillis)) {
+            if (!applyRecord(link, entry, applied, nowMillis)) {
                 break;
             }
         }
-        afterApplying(applied, link);
-        if (!link.mConflict && link.mSummary.position() > mReplica.position()) {
+        onApplied(applied, link);
+        if (!link.mHistoryConflict && link.mSummary.position() > mReplica.position()) {
             pullFrom(link, nowMillis);
         }
     }
@@ -99,21 +100,21 @@
         List<DigestedRecord> applied = new ArrayList<>();
         boolean whole = true;
         for (LogRecord record : records) {
-            Replica.Verdict verdict = mReplica.offer(record, null);
-            if (verdict == Replica.Verdict.APPLIED) {
+            Replica.ApplyResult verdict = mReplica.offer(record, null);
+            if (verdict == Replica.ApplyResult.APPLIED) {
                 applied.add(new DigestedRecord(record, mReplica.digest()));
-            } else if (verdict != Replica.Verdict.KNOWN) {
-                countRefusal(verdict);
+            } else if (verdict != Replica.ApplyResult.KNOWN) {
+                countRejection(verdict);
                 whole = false;
                 break;
             }
         }
-        afterApplying(applied, null);
+        onApplied(applied, null);
         return whole;
     }
 
     void onChunk(Link link, PeerMessage.SnapshotChunk chunk, long nowMillis) {
-        mPullUntilMillis = 0;
+        mPullDeadlineMillis = 0;
         if (chunk.position() <= mReplica.position()) {
             mFetch = null;
             return;
@@ -128,10 +129,10 @@
         mFetch.mDeadlineMillis = nowMillis + CHUNK_TIMEOUT_MILLIS;
         if (mFetch.complete()) {
             mFetch.mDeadlineMillis = Long.MAX_VALUE;
-            mPort.decode(mFetch.mChunks);
+            mTransport.decodeSnapshot(mFetch.mChunks);
         } else {
             int next = mFetch.mChunks.size();
-            mPort.send(link.mId, new PeerMessage.SnapshotRequest(chunk.position(), next));
+            mTransport.send(link.mId, new PeerMessage.SnapshotRequest(chunk.position(), next));
         }
     }
 
@@ -143,11 +144,11 @@
             mContext.count(GossipEvent.SNAPSHOT_REFUSED);
             return;
         }
-        switch (mReplica.adopt(snapshot, expected)) {
+        switch (mReplica.adoptSnapshot(snapshot, expected)) {
             case APPLIED -> {
                 mContext.count(GossipEvent.SNAPSHOT_ADOPTED);
                 mListener.announce(null);
-                mListener.onAdvanced();
+                mListener.onHistoryAdvanced();
             }
             case KNOWN -> {
                 return;
@@ -166,13 +167,13 @@
         if (mFetch != null && nowMillis > mFetch.mDeadlineMillis) {
             mFetch = null;
         }
-        mDonor.tick(nowMillis);
+        mSnapshotServer.tick(nowMillis);
         List<Link> ahead =
                 mContext.links()
                         .where(
                                 link ->
                                         link.established()
-                                                && !link.mConflict
+                                                && !link.mHistoryConflict
                                                 && link.mSummary.position() > mReplica.position());
         Link chosen = mContext.pick(ahead);
         if (chosen != null) {
@@ -181,17 +182,17 @@
     }
 
     private void pullFrom(Link link, long nowMillis) {
-        if (!link.established() || nowMillis < mPullUntilMillis || mFetch != null) {
+        if (!link.established() || nowMillis < mPullDeadlineMillis || mFetch != null) {
             return;
         }
-        mPullUntilMillis = nowMillis + PULL_TIMEOUT_MILLIS;
-        mPort.send(
+        mPullDeadlineMillis = nowMillis + PULL_TIMEOUT_MILLIS;
+        mTransport.send(
                 link.mId, new PeerMessage.EntriesRequest(mReplica.position(), mReplica.digest()));
     }
 
-    private boolean takeIn(
+    private boolean applyRecord(
             Link link, DigestedRecord entry, List<DigestedRecord> applied, long nowMillis) {
-        Replica.Verdict verdict = mReplica.offer(entry.record(), entry.digest());
+        Replica.ApplyResult verdict = mReplica.offer(entry.record(), entry.digest());
         switch (verdict) {
             case APPLIED -> applied.add(entry);
             case KNOWN -> {
@@ -206,14 +207,14 @@
                 return false;
             }
             default -> {
-                countRefusal(verdict);
+                countRejection(verdict);
                 return false;
             }
         }
         return true;
     }
 
-    private void afterApplying(List<DigestedRecord> applied, Link source) {
+    private void onApplied(List<DigestedRecord> applied, Link source) {
         if (applied.isEmpty()) {
             return;
         }
@@ -224,15 +225,15 @@
         if (chars > PUSH_MAX_CHARS) {
             mListener.announce(source);
         } else {
-            toAllBut(source, new PeerMessage.Entries(applied));
+            sendToOthers(source, new PeerMessage.Entries(applied));
         }
-        mListener.onAdvanced();
+        mListener.onHistoryAdvanced();
     }
 
-    private void toAllBut(Link source, PeerMessage message) {
+    private void sendToOthers(Link source, PeerMessage message) {
         for (Link link : mContext.links().established()) {
-            if (link != source && !link.mConflict) {
-                mPort.send(link.mId, message);
+            if (link != source && !link.mHistoryConflict) {
+                mTransport.send(link.mId, message);
             }
         }
     }
@@ -240,16 +241,16 @@
     private void onConflict(Link link) {
         // Somebody holds another body at a position we have. Which of the two is right cannot be
         // told from here; ours is in force and stays, and an operator has to see it.
-        if (!link.mConflict) {
+        if (!link.mHistoryConflict) {
             mContext.count(GossipEvent.HISTORY_CONFLICT);
         }
-        link.mConflict = true;
+        link.mHistoryConflict = true;
     }
 
-    private void countRefusal(Replica.Verdict verdict) {
-        if (verdict == Replica.Verdict.CONFLICT) {
+    private void countRejection(Replica.ApplyResult verdict) {
+        if (verdict == Replica.ApplyResult.CONFLICT) {
             mContext.count(GossipEvent.HISTORY_CONFLICT);
-        } else if (verdict == Replica.Verdict.UNREADABLE) {
+        } else if (verdict == Replica.ApplyResult.UNREADABLE) {
             mContext.count(GossipEvent.RECORD_UNREADABLE);
         }
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/GossipListener.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/GossipListener.java
@@ -11,7 +11,7 @@
     void onHistory(H history);
 
     /** What is known of the VMs changed. */
-    void onView(LiveView view);
+    void onView(VmView view);
 
     /** A node told that it or a target is leaving. */
     void onLeaving(LeavingNotice notice);
--- a/src/main/java/org/apricotgauge/decision/gossip/GossipNode.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/GossipNode.java
@@ -28,59 +28,63 @@
     /** The protocol version of this release. */
     public static final int PROTOCOL = 1;
 
-    private static final long CONFIRM_MILLIS = 5_000;
+    private static final long CONFIRMATION_TIMEOUT_MILLIS = 5_000;
 
     private final NodeIdentity mIdentity;
     private final GossipContext mContext;
-    private final PeerPort<H> mPort;
+    private final PeerTransport<H> mTransport;
     private final GossipListener<H> mListener;
     private final Dissemination<H> mDissemination;
     private final VmSync mVms;
     private final ItemGossip mItems;
     private final Announcer mAnnouncer;
-    private final Liveness mLiveness;
-    private final FleetView mFleet;
-    private final LinkKeeper mLinks;
-    private final FreshnessGuard mFreshness;
-    private final Set<String> mDomainsHeard = new HashSet<>();
-    private long mHighestHeard;
-    private long mWakeSequence;
+    private final PeerFailureDetector mFailureDetector;
+    private final MembershipView mMembership;
+    private final LinkManager mLinks;
+    private final StalenessGate mStalenessGate;
+    private final Set<String> mRespondingDomains = new HashSet<>();
+    private long mHighestKnownPosition;
+    private long mResumeSequence;
 
     /** Creates a node that knows nothing yet. */
     public GossipNode(
             NodeIdentity identity,
             GossipSettings settings,
             ConfigFold<H> fold,
-            PeerPort<H> port,
+            PeerTransport<H> port,
             GossipListener<H> listener,
             long seed,
             long nowMillis) {
         mIdentity = Checks.notNull("identity", identity);
-        mPort = Checks.notNull("port", port);
+        mTransport = Checks.notNull("port", port);
         mListener = Checks.notNull("listener", listener);
         SplittableRandom random = new SplittableRandom(seed);
         mContext =
                 new GossipContext(
                         identity.vm(), settings, new LinkTable(), random, listener::onEvent);
-        LocalHealth health = new LocalHealth();
-        mDissemination = new Dissemination<>(mContext, port, fold, new HistoryEvents());
-        mVms = new VmSync(mContext, port, this::onLines, this::announceAll);
+        LocalHealthMultiplier health = new LocalHealthMultiplier();
+        mDissemination = new Dissemination<>(mContext, port, fold, new DisseminationListener());
+        mVms = new VmSync(mContext, port, this::onVmLines, this::announceSummary);
         mItems = new ItemGossip(mContext, port, this::onItem, nowMillis);
         mAnnouncer = new Announcer(mContext, mItems, identity.incarnation());
-        mLiveness = new Liveness(mContext, port, health, this::accuse);
-        mFleet = new FleetView(mContext, mItems, mLiveness, mAnnouncer, new ViewEvents());
+        mFailureDetector = new PeerFailureDetector(mContext, port, health, this::publishSuspicion);
+        mMembership =
+                new MembershipView(
+                        mContext, mItems, mFailureDetector, mAnnouncer, new MembershipListener());
         mLinks =
-                new LinkKeeper(
+                new LinkManager(
                         identity,
                         mContext,
                         port,
                         mAnnouncer,
                         health,
-                        mLiveness,
-                        mFleet::view,
-                        new LinkEvents());
-        mFreshness = new FreshnessGuard(settings.pauseMillis(), CONFIRM_MILLIS, nowMillis);
-        mAnnouncer.alive(nowMillis);
+                        mFailureDetector,
+                        mMembership::view,
+                        new LinkListener());
+        mStalenessGate =
+                new StalenessGate(
+                        settings.pauseThresholdMillis(), CONFIRMATION_TIMEOUT_MILLIS, nowMillis);
+        mAnnouncer.announceAlive(nowMillis);
     }
 
     /** Returns the history in force. */
@@ -89,13 +93,13 @@
     }
 
     /** Returns what is known of the VMs. */
-    public LiveView view() {
-        return mFleet.view();
+    public VmView view() {
+        return mMembership.view();
     }
 
     /** Returns the guard that tells whether old state may be acted on. */
-    public FreshnessGuard freshness() {
-        return mFreshness;
+    public StalenessGate stalenessGate() {
+        return mStalenessGate;
     }
 
     /** Returns the log position of the history in force. */
@@ -109,35 +113,35 @@
     }
 
     /** Returns what this node holds, in one line. */
-    public Summary summary() {
+    public StateSummary summary() {
         Replica<H> replica = mDissemination.replica();
-        return new Summary(
+        return new StateSummary(
                 replica.position(), replica.digest(), mVms.revision(), mItems.store().hash());
     }
 
     /** Returns the highest log position that any peer said it has. */
-    public long highestHeard() {
-        return mHighestHeard;
+    public long highestKnownPosition() {
+        return mHighestKnownPosition;
     }
 
     /** Returns from how many failure domains a peer has told what it holds. */
-    public int domainsHeard() {
-        return mDomainsHeard.size();
+    public int respondingDomains() {
+        return mRespondingDomains.size();
     }
 
     /** Returns in how many failure domains, the own one too, other nodes are known. */
-    public int domainsKnown() {
-        return mFleet.domainsKnown();
+    public int knownDomains() {
+        return mMembership.knownDomains();
     }
 
     /** Returns how many links to peers are established. */
-    public int links() {
+    public int establishedLinks() {
         return mContext.links().count(Link::established);
     }
 
     /** Returns whether the node said that it lost the platform, and did not take it back. */
     public boolean lostPlatform(String vm) {
-        return Announcer.lost(mItems.store().get(GossipItem.Kind.WATCH, vm, ""));
+        return Announcer.reportsPlatformLost(mItems.store().get(GossipItem.Kind.WATCH, vm, ""));
     }
 
     /** A peer dialled us. */
@@ -161,7 +165,7 @@
         if (link == null) {
             return;
         }
-        link.mLastHeardMillis = nowMillis;
+        link.mLastReceivedMillis = nowMillis;
         if (message instanceof PeerMessage.Hello hello) {
             mLinks.onHello(link, hello, nowMillis);
         } else if (message instanceof PeerMessage.Welcome welcome) {
@@ -172,12 +176,12 @@
     }
 
     /** A snapshot was encoded. */
-    public void onEncoded(List<byte[]> chunks, long nowMillis) {
-        mDissemination.donor().onEncoded(chunks, nowMillis);
+    public void onSnapshotEncoded(List<byte[]> chunks, long nowMillis) {
+        mDissemination.snapshotServer().onEncoded(chunks, nowMillis);
     }
 
     /** A snapshot from a peer was read; null if it could not be. */
-    public void onDecoded(H snapshot) {
+    public void onSnapshotDecoded(H snapshot) {
         mDissemination.onDecoded(snapshot, null);
     }
 
@@ -210,17 +214,17 @@
 
     /** The platform answered a call that was put after the last waking. */
     public void onPlatformConfirmed() {
-        mFreshness.onConfirmed();
+        mStalenessGate.onConfirmed();
     }
 
     /** Tells the fleet that a target on this VM is leaving, or the whole VM. */
     public void announceLeaving(String target, long nowMillis) {
-        mAnnouncer.leaving(Checks.notNull("target", target), nowMillis);
+        mAnnouncer.announceLeaving(Checks.notNull("target", target), nowMillis);
     }
 
     /** Tells the fleet that this watcher lost the platform, or has it again. */
-    public void announceWatch(boolean lost, long nowMillis) {
-        mAnnouncer.watch(lost, nowMillis);
+    public void announcePlatformState(boolean lost, long nowMillis) {
+        mAnnouncer.announcePlatformState(lost, nowMillis);
     }
 
     /** Tells the fleet a piece of evidence; a later sequence of the same key replaces it. */
@@ -230,15 +234,15 @@
 
     /** Time goes on; called about ten times a second. */
     public void tick(long nowMillis) {
-        if (mFreshness.onTick(nowMillis)) {
+        if (mStalenessGate.onTick(nowMillis)) {
             mContext.count(GossipEvent.WOKE_FROM_PAUSE);
-            mItems.forgetSync();
+            mItems.requireFullSync();
             // Frames that wait in the sockets were written before we woke; only the answer to a
             // heartbeat from now on counts as a confirmation.
-            mWakeSequence = mLinks.sequence() + 1;
-            mLinks.onWoke(nowMillis);
+            mResumeSequence = mLinks.lastPingSequence() + 1;
+            mLinks.onResumed(nowMillis);
         }
-        mLiveness.tick(nowMillis).forEach(mFleet::onUnreachable);
+        mFailureDetector.tick(nowMillis).forEach(mMembership::onUnreachable);
         mItems.tick(nowMillis);
         mDissemination.tick(nowMillis);
         mVms.tick(nowMillis);
@@ -248,10 +252,10 @@
     private void onGossip(Link link, PeerMessage message, long nowMillis) {
         if (message instanceof PeerMessage.Ping ping) {
             onSummary(link, ping.summary(), nowMillis);
-            mPort.send(link.mId, new PeerMessage.Ack(ping.sequence(), summary()));
+            mTransport.send(link.mId, new PeerMessage.Ack(ping.sequence(), summary()));
         } else if (message instanceof PeerMessage.Ack ack) {
             onSummary(link, ack.summary(), nowMillis);
-            confirm(ack);
+            confirmState(ack);
         } else if (message instanceof PeerMessage.Have have) {
             onSummary(link, have.summary(), nowMillis);
         } else if (message instanceof PeerMessage.Entries entries) {
@@ -259,7 +263,7 @@
         } else if (message instanceof PeerMessage.EntriesRequest request) {
             mDissemination.onEntriesRequest(link, request);
         } else if (message instanceof PeerMessage.SnapshotRequest request) {
-            mDissemination.donor().serve(link.mId, request.position(), request.chunk());
+            mDissemination.snapshotServer().serve(link.mId, request.position(), request.chunk());
         } else if (message instanceof PeerMessage.SnapshotChunk chunk) {
             mDissemination.onChunk(link, chunk, nowMillis);
         } else if (message instanceof PeerMessage.VmsRequest request) {
@@ -267,49 +271,50 @@
         } else if (message instanceof PeerMessage.VmChanges changes) {
             mVms.onChanges(link, changes, nowMillis);
         } else {
-            onFleetNews(link, message, nowMillis);
+            onItemOrProbe(link, message, nowMillis);
         }
     }
 
-    private void onFleetNews(Link link, PeerMessage message, long nowMillis) {
+    private void onItemOrProbe(Link link, PeerMessage message, long nowMillis) {
         if (message instanceof PeerMessage.Items items) {
             mItems.onItems(link, items, nowMillis);
         } else if (message instanceof PeerMessage.ItemsRequest) {
             mItems.onItemsRequest(link, nowMillis);
         } else if (message instanceof PeerMessage.ProbeRequest request) {
-            if (mLiveness.onProbeRequest(link, request, nowMillis)) {
+            if (mFailureDetector.onProbeRequest(link, request, nowMillis)) {
                 long probe = mLinks.dial(request.vm(), Link.Role.PROBE, nowMillis);
-                mLiveness.onProbeDialled(probe, link.mId, request.nonce());
+                mFailureDetector.onProbeDialled(probe, link.mId, request.nonce());
             }
         } else if (message instanceof PeerMessage.ProbeResult result) {
-            mLiveness.onProbeResult(result, nowMillis);
+            mFailureDetector.onProbeResult(result, nowMillis);
         }
     }
 
-    private void onSummary(Link link, Summary summary, long nowMillis) {
-        onHeard(link.mRemote, summary);
+    private void onSummary(Link link, StateSummary summary, long nowMillis) {
+        onRemoteSummary(link.mRemote, summary);
         mDissemination.onSummary(link, summary, nowMillis);
         mVms.onSummary(link, summary, nowMillis);
         mItems.onSummary(link, summary, nowMillis);
     }
 
-    private void onHeard(Vm remote, Summary summary) {
-        mHighestHeard = Math.max(mHighestHeard, summary.position());
-        mDomainsHeard.add(remote.failureDomain());
+    private void onRemoteSummary(Vm remote, StateSummary summary) {
+        mHighestKnownPosition = Math.max(mHighestKnownPosition, summary.position());
+        mRespondingDomains.add(remote.failureDomain());
     }
 
-    private void confirm(PeerMessage.Ack ack) {
-        boolean itemsTaken = ack.summary().itemsHash() == mItems.store().hash() || mItems.synced();
-        boolean asked = ack.sequence() >= mWakeSequence;
+    private void confirmState(PeerMessage.Ack ack) {
+        boolean itemsTaken =
+                ack.summary().itemsHash() == mItems.store().hash() || mItems.fullSyncReceived();
+        boolean asked = ack.sequence() >= mResumeSequence;
         if (asked && itemsTaken && ack.summary().position() <= position()) {
-            mFreshness.onConfirmed();
+            mStalenessGate.onConfirmed();
         }
     }
 
     private void onItem(GossipItem item, long nowMillis) {
         switch (item.kind()) {
-            case LIVENESS -> mFleet.onLiveness(item, nowMillis);
-            case LEAVING -> mFleet.onLeaving(item, nowMillis);
+            case LIVENESS -> mMembership.onLiveness(item, nowMillis);
+            case LEAVING -> mMembership.onLeaving(item, nowMillis);
             case EVIDENCE -> mListener.onEvidence(item);
             default -> {
                 return; // watch items are read where the watchers are chosen
@@ -317,20 +322,20 @@
         }
     }
 
-    private void onLines(List<VmLine> news, List<String> forgotten) {
-        mFleet.onLines(news, forgotten);
+    private void onVmLines(List<VmLine> news, List<String> forgotten) {
+        mMembership.onVmLines(news, forgotten);
     }
 
-    private void announceAll(Link source) {
-        Summary summary = summary();
+    private void announceSummary(Link source) {
+        StateSummary summary = summary();
         for (Link link : mContext.links().established()) {
             if (link != source) {
-                mPort.send(link.mId, new PeerMessage.Have(summary));
+                mTransport.send(link.mId, new PeerMessage.Have(summary));
             }
         }
     }
 
-    private void accuse(Vm vm, long nowMillis) {
+    private void publishSuspicion(Vm vm, long nowMillis) {
         long sequence = 2 * view().incarnation(vm.id()) + 1;
         GossipItem accusation =
                 new GossipItem(
@@ -344,22 +349,22 @@
     }
 
     /** What the dissemination tells. */
-    private final class HistoryEvents implements Dissemination.Listener {
+    private final class DisseminationListener implements Dissemination.Listener {
         @Override
-        public void onAdvanced() {
+        public void onHistoryAdvanced() {
             mListener.onHistory(history());
         }
 
         @Override
         public void announce(Link source) {
-            announceAll(source);
+            announceSummary(source);
         }
     }
 
     /** What the merged view tells. */
-    private final class ViewEvents implements FleetView.Listener {
+    private final class MembershipListener implements MembershipView.Listener {
         @Override
-        public void onView(LiveView view) {
+        public void onView(VmView view) {
             mListener.onView(view);
         }
 
@@ -370,26 +375,27 @@
     }
 
     /** What the links tell. */
-    private final class LinkEvents implements LinkKeeper.Listener {
+    private final class LinkListener implements LinkManager.Listener {
         @Override
-        public Summary summary() {
+        public StateSummary summary() {
             return GossipNode.this.summary();
         }
 
         @Override
-        public void onHeard(Vm remote, Summary summary) {
-            GossipNode.this.onHeard(remote, summary);
+        public void onRemoteSummary(Vm remote, StateSummary summary) {
+            GossipNode.this.onRemoteSummary(remote, summary);
         }
 
         @Override
-        public void onEstablished(Link link, long incarnation, Summary summary, long nowMillis) {
-            mFleet.onMet(link.mRemote, incarnation);
-            introduce(link);
+        public void onEstablished(
+                Link link, long incarnation, StateSummary summary, long nowMillis) {
+            mMembership.onPeerIdentified(link.mRemote, incarnation);
+            sendIntroduction(link);
             onSummary(link, summary, nowMillis);
         }
 
         @Override
-        public void onEnded(Link link) {
+        public void onClosed(Link link) {
             mDissemination.onClosed(link);
         }
 
@@ -398,15 +404,15 @@
          * first, a node that was restarted would pass for dead or leaving until the next full
          * exchange; without the second, one that was wrongly accused could not refute it.
          */
-        private void introduce(Link link) {
-            List<GossipItem> items = mAnnouncer.statements();
+        private void sendIntroduction(Link link) {
+            List<GossipItem> items = mAnnouncer.ownItems();
             String id = link.mRemote.id();
             GossipItem item = mItems.store().get(GossipItem.Kind.LIVENESS, id, "");
             if (item != null && item.sequence() % 2 == 1) {
                 items.add(item);
             }
             if (!items.isEmpty()) {
-                mPort.send(link.mId, new PeerMessage.Items(items, false));
+                mTransport.send(link.mId, new PeerMessage.Items(items, false));
             }
         }
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/GossipSettings.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/GossipSettings.java
@@ -9,22 +9,22 @@
  * @param otherDomainLinks links dialled into other failure domains
  * @param maxInboundLinks most links accepted
  * @param heartbeatMillis time between two heartbeats of a link
- * @param silenceMillis a link without any frame for this long is closed and dialled anew
+ * @param linkTimeoutMillis a link without any frame for this long is closed and dialled anew
  * @param dialTimeoutMillis time in which a dialled peer must have welcomed us
  * @param rewireMillis mean time after which one dialled link is exchanged for another
- * @param suspicionMillis a suspicion that stands this long counts as unreachable
- * @param pauseMillis a gap between two ticks that counts as a pause of the process
+ * @param suspicionTimeoutMillis a suspicion that stands this long counts as unreachable
+ * @param pauseThresholdMillis a gap between two ticks that counts as a pause of the process
  */
 public record GossipSettings(
         int ownDomainLinks,
         int otherDomainLinks,
         int maxInboundLinks,
         long heartbeatMillis,
-        long silenceMillis,
+        long linkTimeoutMillis,
         long dialTimeoutMillis,
         long rewireMillis,
-        long suspicionMillis,
-        long pauseMillis) {
+        long suspicionTimeoutMillis,
+        long pauseThresholdMillis) {
     /** What a node uses unless told otherwise. */
     public static final GossipSettings DEFAULT =
             new GossipSettings(2, 2, 16, 1_000, 3_500, 2_000, 30_000, 5_000, 2_000);
@@ -38,10 +38,10 @@
         Checks.inRange("otherDomainLinks", otherDomainLinks, 0, MAX_LINKS);
         Checks.inRange("maxInboundLinks", maxInboundLinks, 1, MAX_LINKS);
         Checks.inRange("heartbeatMillis", heartbeatMillis, 1, MAX_MILLIS);
-        Checks.inRange("silenceMillis", silenceMillis, heartbeatMillis + 1, MAX_MILLIS);
+        Checks.inRange("silenceMillis", linkTimeoutMillis, heartbeatMillis + 1, MAX_MILLIS);
         Checks.inRange("dialTimeoutMillis", dialTimeoutMillis, 1, MAX_MILLIS);
         Checks.inRange("rewireMillis", rewireMillis, 1, MAX_MILLIS);
-        Checks.inRange("suspicionMillis", suspicionMillis, 1, MAX_MILLIS);
-        Checks.inRange("pauseMillis", pauseMillis, 1, MAX_MILLIS);
+        Checks.inRange("suspicionMillis", suspicionTimeoutMillis, 1, MAX_MILLIS);
+        Checks.inRange("pauseMillis", pauseThresholdMillis, 1, MAX_MILLIS);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/ItemGossip.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ItemGossip.java
@@ -10,7 +10,7 @@
     private static final int ITEM_OVERHEAD_BYTES = 96;
     private static final double EVIDENCE_BYTES_PER_SECOND = 512;
     private static final double EVIDENCE_BURST_BYTES = 16 << 10;
-    private static final int MAX_ITEMS_OF_A_MESSAGE = 1_000;
+    private static final int MAX_ITEMS_PER_MESSAGE = 1_000;
 
     /** Told of each item that is news. */
     interface Listener {
@@ -18,16 +18,16 @@
     }
 
     private final GossipContext mContext;
-    private final PeerPort<?> mPort;
+    private final PeerTransport<?> mTransport;
     private final Listener mListener;
     private final ItemStore mStore = new ItemStore();
     private final TokenBucket mEvidenceBudget;
     private long mNextSyncMillis = Long.MIN_VALUE;
-    private boolean mSynced;
+    private boolean mFullSyncReceived;
 
-    ItemGossip(GossipContext context, PeerPort<?> port, Listener listener, long nowMillis) {
+    ItemGossip(GossipContext context, PeerTransport<?> port, Listener listener, long nowMillis) {
         mContext = context;
-        mPort = port;
+        mTransport = port;
         mListener = listener;
         mEvidenceBudget =
                 new TokenBucket(EVIDENCE_BYTES_PER_SECOND, EVIDENCE_BURST_BYTES, nowMillis);
@@ -38,43 +38,45 @@
     }
 
     /**
-     * Returns whether a full exchange has come in since the start or the last {@link #forgetSync}.
+     * Returns whether a full exchange has come in since the start or the last {@link
+     * #requireFullSync}.
      */
-    boolean synced() {
-        return mSynced;
+    boolean fullSyncReceived() {
+        return mFullSyncReceived;
     }
 
     /** Makes the next difference of hashes ask for a full exchange at once. */
-    void forgetSync() {
-        mSynced = false;
+    void requireFullSync() {
+        mFullSyncReceived = false;
         mNextSyncMillis = Long.MIN_VALUE;
     }
 
     void publish(GossipItem item, long nowMillis) {
-        takeIn(List.of(item), null, nowMillis);
+        acceptItems(List.of(item), null, nowMillis);
     }
 
     void onItems(Link source, PeerMessage.Items message, long nowMillis) {
-        mSynced |= message.whole();
-        takeIn(message.items(), source, nowMillis);
+        mFullSyncReceived |= message.whole();
+        acceptItems(message.items(), source, nowMillis);
     }
 
-    void onSummary(Link link, Summary summary, long nowMillis) {
+    void onSummary(Link link, StateSummary summary, long nowMillis) {
         boolean due = nowMillis >= mNextSyncMillis;
         if (due && link.established() && summary.itemsHash() != mStore.hash()) {
             mNextSyncMillis = nowMillis + SYNC_INTERVAL_MILLIS;
-            mPort.send(link.mId, new PeerMessage.ItemsRequest());
+            mTransport.send(link.mId, new PeerMessage.ItemsRequest());
         }
     }
 
     void onItemsRequest(Link link, long nowMillis) {
         List<GossipItem> all = mStore.all(nowMillis);
-        for (int from = 0; from < all.size(); from += MAX_ITEMS_OF_A_MESSAGE) {
-            int to = Math.min(all.size(), from + MAX_ITEMS_OF_A_MESSAGE);
-            mPort.send(link.mId, new PeerMessage.Items(all.subList(from, to), to == all.size()));
+        for (int from = 0; from < all.size(); from += MAX_ITEMS_PER_MESSAGE) {
+            int to = Math.min(all.size(), from + MAX_ITEMS_PER_MESSAGE);
+            mTransport.send(
+                    link.mId, new PeerMessage.Items(all.subList(from, to), to == all.size()));
         }
         if (all.isEmpty()) {
-            mPort.send(link.mId, new PeerMessage.Items(List.of(), true));
+            mTransport.send(link.mId, new PeerMessage.Items(List.of(), true));
         }
     }
 
@@ -82,17 +84,17 @@
         mStore.expire(nowMillis);
     }
 
-    private void takeIn(List<GossipItem> items, Link source, long nowMillis) {
+    private void acceptItems(List<GossipItem> items, Link source, long nowMillis) {
         List<GossipItem> forward = new ArrayList<>();
         for (GossipItem item : items) {
-            ItemStore.Verdict verdict = mStore.offer(item, nowMillis);
-            if (verdict == ItemStore.Verdict.DROPPED) {
+            ItemStore.OfferResult verdict = mStore.offer(item, nowMillis);
+            if (verdict == ItemStore.OfferResult.DROPPED) {
                 mContext.count(GossipEvent.ITEM_DROPPED);
             }
-            if (verdict != ItemStore.Verdict.NEWS) {
+            if (verdict != ItemStore.OfferResult.ACCEPTED) {
                 continue;
             }
-            if (withinBudget(item, nowMillis)) {
+            if (isWithinBudget(item, nowMillis)) {
                 forward.add(item);
             } else {
                 mContext.count(GossipEvent.ITEM_DROPPED);
@@ -104,7 +106,7 @@
         }
     }
 
-    private boolean withinBudget(GossipItem item, long nowMillis) {
+    private boolean isWithinBudget(GossipItem item, long nowMillis) {
         // Liveness and leaving are bounded by how often VMs come and go; evidence is bounded only
         // here. With 8 links one byte taken in costs up to 15 on the wire.
         return item.kind() != GossipItem.Kind.EVIDENCE
@@ -114,7 +116,7 @@
     private void flood(PeerMessage message, Link source) {
         for (Link link : mContext.links().established()) {
             if (link != source) {
-                mPort.send(link.mId, message);
+                mTransport.send(link.mId, message);
             }
         }
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/VmPayload.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ItemPayloads.java
@@ -8,13 +8,13 @@
 import org.apricotgauge.model.Vm;
 
 /** Payloads of liveness and leaving items. */
-final class VmPayload {
+final class ItemPayloads {
     private static final ObjectMapper JSON =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-    private VmPayload() {}
+    private ItemPayloads() {}
 
-    static byte[] of(Vm vm) {
+    static byte[] encode(Vm vm) {
         try {
             return JSON.writeValueAsBytes(vm);
         } catch (IOException e) {
@@ -23,7 +23,7 @@
     }
 
     /** Returns the VM, or null if the payload is not one. */
-    static Vm vm(byte[] payload) {
+    static Vm decodeVm(byte[] payload) {
         try {
             return JSON.readValue(payload, Vm.class);
         } catch (IOException e) {
@@ -31,7 +31,7 @@
         }
     }
 
-    static byte[] of(long incarnation) {
+    static byte[] encode(long incarnation) {
         return Long.toString(incarnation).getBytes(StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/ItemStore.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ItemStore.java
@@ -11,61 +11,61 @@
 /** The gossip items that hold at present: the latest of each (kind, node, key), bounded. */
 final class ItemStore {
     static final int MAX_ITEMS = 8_192;
-    static final int MAX_EVIDENCE_ITEMS_OF_A_NODE = 64;
+    static final int MAX_EVIDENCE_ITEMS_PER_NODE = 64;
 
     private record Key(GossipItem.Kind kind, String node, String key) {}
 
-    private record Held(GossipItem item, long deadlineMillis) {}
+    private record StoredItem(GossipItem item, long deadlineMillis) {}
 
-    private final Map<Key, Held> mHeld = new HashMap<>();
-    private final Map<String, Integer> mEvidenceOfNode = new HashMap<>();
+    private final Map<Key, StoredItem> mItems = new HashMap<>();
+    private final Map<String, Integer> mEvidenceCountByNode = new HashMap<>();
     private long mHash;
 
     /** What came of an offer. */
-    enum Verdict {
-        NEWS,
+    enum OfferResult {
+        ACCEPTED,
         KNOWN,
         DROPPED
     }
 
     /** Takes an item in if it is the latest of its key and there is room. */
-    Verdict offer(GossipItem item, long nowMillis) {
+    OfferResult offer(GossipItem item, long nowMillis) {
         Key key = new Key(item.kind(), item.node(), item.key());
-        Held old = mHeld.get(key);
+        StoredItem old = mItems.get(key);
         if (item.lifetimeMillis() == 0
                 || (old != null && old.item().sequence() >= item.sequence())) {
-            return Verdict.KNOWN;
+            return OfferResult.KNOWN;
         }
-        if (old == null && !hasRoomFor(item)) {
-            return Verdict.DROPPED;
+        if (old == null && !hasCapacityFor(item)) {
+            return OfferResult.DROPPED;
         }
         if (old != null) {
-            forget(old.item());
+            onItemRemoved(old.item());
         }
-        mHeld.put(key, new Held(item, nowMillis + item.lifetimeMillis()));
+        mItems.put(key, new StoredItem(item, nowMillis + item.lifetimeMillis()));
         mHash ^= hashOf(item);
         if (item.kind() == GossipItem.Kind.EVIDENCE) {
-            mEvidenceOfNode.merge(item.node(), 1, Integer::sum);
+            mEvidenceCountByNode.merge(item.node(), 1, Integer::sum);
         }
-        return Verdict.NEWS;
+        return OfferResult.ACCEPTED;
     }
 
     /** Drops what has expired. */
     void expire(long nowMillis) {
-        Iterator<Held> held = mHeld.values().iterator();
+        Iterator<StoredItem> held = mItems.values().iterator();
         while (held.hasNext()) {
-            Held next = held.next();
+            StoredItem next = held.next();
             if (next.deadlineMillis() <= nowMillis) {
                 held.remove();
-                forget(next.item());
+                onItemRemoved(next.item());
             }
         }
     }
 
     /** Returns all items with what is left of their lifetimes. */
     List<GossipItem> all(long nowMillis) {
-        List<GossipItem> items = new ArrayList<>(mHeld.size());
-        for (Held held : mHeld.values()) {
+        List<GossipItem> items = new ArrayList<>(mItems.size());
+        for (StoredItem held : mItems.values()) {
             long left = held.deadlineMillis() - nowMillis;
             if (left > 0) {
                 items.add(held.item().withLifetimeMillis(left));
@@ -75,16 +75,16 @@
     }
 
     /** Returns the notices of leaving that hold. */
-    List<GossipItem> leaving() {
-        return mHeld.values().stream()
-                .map(Held::item)
+    List<GossipItem> leavingItems() {
+        return mItems.values().stream()
+                .map(StoredItem::item)
                 .filter(item -> item.kind() == GossipItem.Kind.LEAVING)
                 .toList();
     }
 
     /** Returns the latest item of a key, or null. */
     GossipItem get(GossipItem.Kind kind, String node, String key) {
-        Held held = mHeld.get(new Key(kind, node, key));
+        StoredItem held = mItems.get(new Key(kind, node, key));
         return held == null ? null : held.item();
     }
 
@@ -94,21 +94,21 @@
     }
 
     int size() {
-        return mHeld.size();
+        return mItems.size();
     }
 
-    private boolean hasRoomFor(GossipItem item) {
-        if (mHeld.size() >= MAX_ITEMS) {
+    private boolean hasCapacityFor(GossipItem item) {
+        if (mItems.size() >= MAX_ITEMS) {
             return false;
         }
         return item.kind() != GossipItem.Kind.EVIDENCE
-                || mEvidenceOfNode.getOrDefault(item.node(), 0) < MAX_EVIDENCE_ITEMS_OF_A_NODE;
+                || mEvidenceCountByNode.getOrDefault(item.node(), 0) < MAX_EVIDENCE_ITEMS_PER_NODE;
     }
 
-    private void forget(GossipItem item) {
+    private void onItemRemoved(GossipItem item) {
         mHash ^= hashOf(item);
         if (item.kind() == GossipItem.Kind.EVIDENCE) {
-            mEvidenceOfNode.computeIfPresent(
+            mEvidenceCountByNode.computeIfPresent(
                     item.node(), (node, count) -> count == 1 ? null : count - 1);
         }
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/KnownVm.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/KnownVm.java
@@ -10,14 +10,14 @@
  * @param vm the VM
  * @param platformLeaving whether the platform's list says it is leaving or took it off
  * @param incarnation latest known run of its node; 0 if its node was never heard of
- * @param notices latest incarnation whose notice named the target, or the whole VM
+ * @param noticeIncarnations latest incarnation whose notice named the target, or the whole VM
  * @param unreachable whether a suspicion of it has stood for too long
  */
 record KnownVm(
         Vm vm,
         boolean platformLeaving,
         long incarnation,
-        PMap<String, Long> notices,
+        PMap<String, Long> noticeIncarnations,
         boolean unreachable) {
 
     static KnownVm of(Vm vm) {
@@ -26,36 +26,37 @@
 
     /** Returns whether work should keep away from the target. */
     boolean leaving(String target) {
-        return platformLeaving || noticed(LeavingNotice.WHOLE_VM) || noticed(target);
+        return platformLeaving || hasNotice(LeavingNotice.WHOLE_VM) || hasNotice(target);
     }
 
-    private boolean noticed(String target) {
-        Long by = notices.get(target);
+    private boolean hasNotice(String target) {
+        Long by = noticeIncarnations.get(target);
         // A notice speaks for the run that gave it. Without this bound a VM that was restarted
         // under its old name would get no work for as long as its notice is remembered.
         return by != null && by >= incarnation;
     }
 
     KnownVm withVm(Vm newVm) {
-        return new KnownVm(newVm, platformLeaving, incarnation, notices, unreachable);
+        return new KnownVm(newVm, platformLeaving, incarnation, noticeIncarnations, unreachable);
     }
 
     KnownVm withPlatformLeaving(boolean leaving) {
-        return new KnownVm(vm, leaving, incarnation, notices, unreachable);
+        return new KnownVm(vm, leaving, incarnation, noticeIncarnations, unreachable);
     }
 
     KnownVm withIncarnation(long newer) {
-        return new KnownVm(vm, platformLeaving, newer, notices, unreachable);
+        return new KnownVm(vm, platformLeaving, newer, noticeIncarnations, unreachable);
     }
 
     KnownVm withNotice(String target, long by) {
-        if (notices.getOrDefault(target, 0L) >= by) {
+        if (noticeIncarnations.getOrDefault(target, 0L) >= by) {
             return this;
         }
-        return new KnownVm(vm, platformLeaving, incarnation, notices.plus(target, by), unreachable);
+        return new KnownVm(
+                vm, platformLeaving, incarnation, noticeIncarnations.plus(target, by), unreachable);
     }
 
     KnownVm withUnreachable(boolean now) {
-        return new KnownVm(vm, platformLeaving, incarnation, notices, now);
+        return new KnownVm(vm, platformLeaving, incarnation, noticeIncarnations, now);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/Link.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Link.java
@@ -4,12 +4,12 @@
 
 /** One connection to a peer, as the state machine sees it. */
 final class Link {
-    private static final Summary NOTHING = new Summary(0, "", 0, 0);
+    private static final StateSummary EMPTY_SUMMARY = new StateSummary(0, "", 0, 0);
 
     /** How far the link has come. */
     enum State {
         DIALLING,
-        GREETING,
+        HANDSHAKE,
         ESTABLISHED
     }
 
@@ -23,17 +23,17 @@
     final Role mRole;
     final long mOpenedAtMillis;
     State mState;
-    long mLastHeardMillis;
+    long mLastReceivedMillis;
     long mLastPingMillis;
 
     /** The peer; null until it has said who it is. */
     Vm mRemote;
 
     /** What the peer said last that it holds. */
-    Summary mSummary = NOTHING;
+    StateSummary mSummary = EMPTY_SUMMARY;
 
     /** Whether the peer's history is another than ours; it is never asked for records then. */
-    boolean mConflict;
+    boolean mHistoryConflict;
 
     Link(long id, Role role, State state, Vm remote, long nowMillis) {
         mId = id;
@@ -41,7 +41,7 @@
         mState = state;
         mRemote = remote;
         mOpenedAtMillis = nowMillis;
-        mLastHeardMillis = nowMillis;
+        mLastReceivedMillis = nowMillis;
         mLastPingMillis = nowMillis;
     }
 
--- a/src/main/java/org/apricotgauge/decision/gossip/LinkKeeper.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/LinkManager.java
@@ -6,47 +6,47 @@
 import org.apricotgauge.model.Vm;
 
 /** The life of links: dial, greet, heartbeat, silence, loss. */
-final class LinkKeeper {
+final class LinkManager {
     private static final int SAMPLE_SIZE = 8;
 
     /** Told what happens to links. */
     interface Listener {
-        Summary summary();
+        StateSummary summary();
 
         /** A peer, linked or not, said what it holds. */
-        void onHeard(Vm remote, Summary summary);
+        void onRemoteSummary(Vm remote, StateSummary summary);
 
-        void onEstablished(Link link, long incarnation, Summary summary, long nowMillis);
+        void onEstablished(Link link, long incarnation, StateSummary summary, long nowMillis);
 
-        void onEnded(Link link);
+        void onClosed(Link link);
     }
 
     private final NodeIdentity mIdentity;
     private final GossipContext mContext;
-    private final PeerPort<?> mPort;
+    private final PeerTransport<?> mTransport;
     private final Announcer mAnnouncer;
-    private final LocalHealth mHealth;
-    private final Liveness mLiveness;
+    private final LocalHealthMultiplier mHealthMultiplier;
+    private final PeerFailureDetector mFailureDetector;
     private final Neighbours mNeighbours;
-    private final Supplier<LiveView> mView;
+    private final Supplier<VmView> mView;
     private final Listener mListener;
-    private long mSequence;
+    private long mPingSequence;
 
-    LinkKeeper(
+    LinkManager(
             NodeIdentity identity,
             GossipContext context,
-            PeerPort<?> port,
+            PeerTransport<?> port,
             Announcer announcer,
-            LocalHealth health,
-            Liveness liveness,
-            Supplier<LiveView> view,
+            LocalHealthMultiplier health,
+            PeerFailureDetector liveness,
+            Supplier<VmView> view,
             Listener listener) {
         mIdentity = identity;
         mContext = context;
-        mPort = port;
+        mTransport = port;
         mAnnouncer = announcer;
-        mHealth = health;
-        mLiveness = liveness;
+        mHealthMultiplier = health;
+        mFailureDetector = liveness;
         mView = view;
         mListener = listener;
         mNeighbours =
@@ -60,35 +60,35 @@
     }
 
     /** Returns the sequence of the last heartbeat sent. */
-    long sequence() {
-        return mSequence;
+    long lastPingSequence() {
+        return mPingSequence;
     }
 
     void tick(long nowMillis) {
         for (Link link : mContext.links().all()) {
-            watch(link, nowMillis);
+            checkTimeouts(link, nowMillis);
         }
-        Link surplus = mNeighbours.surplus(nowMillis);
-        Link exchanged = surplus == null ? mNeighbours.rewire(nowMillis) : surplus;
+        Link surplus = mNeighbours.surplusLink(nowMillis);
+        Link exchanged = surplus == null ? mNeighbours.linkToReplace(nowMillis) : surplus;
         if (exchanged != null) {
             close(exchanged);
         }
-        if (!mAnnouncer.leavingWhole()) {
-            mNeighbours.fill(nowMillis);
+        if (!mAnnouncer.isVmLeaving()) {
+            mNeighbours.dialMissing(nowMillis);
         }
     }
 
     /** The process woke from a pause: the silence was ours, and every peer is asked anew. */
-    void onWoke(long nowMillis) {
-        mHealth.onTrouble();
+    void onResumed(long nowMillis) {
+        mHealthMultiplier.onFailure();
         for (Link link : mContext.links().all()) {
-            link.mLastHeardMillis = nowMillis;
+            link.mLastReceivedMillis = nowMillis;
             ping(link, nowMillis);
         }
     }
 
     void onAccepted(long id, long nowMillis) {
-        Link link = new Link(id, Link.Role.NEIGHBOUR, Link.State.GREETING, null, nowMillis);
+        Link link = new Link(id, Link.Role.NEIGHBOUR, Link.State.HANDSHAKE, null, nowMillis);
         mContext.links().add(link);
     }
 
@@ -97,12 +97,12 @@
         if (link == null) {
             return;
         }
-        link.mState = Link.State.GREETING;
+        link.mState = Link.State.HANDSHAKE;
         PeerMessage.Purpose purpose =
                 link.mRole == Link.Role.PROBE
                         ? PeerMessage.Purpose.PROBE
                         : PeerMessage.Purpose.NEIGHBOUR;
-        mPort.send(
+        mTransport.send(
                 id,
                 new PeerMessage.Hello(
                         GossipNode.PROTOCOL,
@@ -117,8 +117,8 @@
     void onClosed(long id, long nowMillis) {
         Link link = mContext.links().remove(id);
         if (link != null) {
-            mListener.onEnded(link);
-            onLost(link, nowMillis);
+            mListener.onClosed(link);
+            onDisconnected(link, nowMillis);
         }
     }
 
@@ -127,7 +127,7 @@
                 hello.site().equals(mIdentity.site())
                         && hello.minProtocol() <= GossipNode.PROTOCOL
                         && hello.maxProtocol() >= GossipNode.PROTOCOL;
-        if (link.dialled() || link.mState != Link.State.GREETING || !compatible) {
+        if (link.dialled() || link.mState != Link.State.HANDSHAKE || !compatible) {
             mContext.count(GossipEvent.INCOMPATIBLE_PEER);
             close(link);
             return;
@@ -137,7 +137,7 @@
         int inbound = mContext.links().count(l -> l.established() && !l.dialled());
         boolean room = inbound < mContext.settings().maxInboundLinks();
         boolean accepted = !self && (probe || room);
-        welcome(link, accepted);
+        sendWelcome(link, accepted);
         // The dialler closes a probe or a refused link once it has read the answer; if it doesn't,
         // the time limit for greetings does.
         if (!accepted || probe) {
@@ -148,20 +148,20 @@
     }
 
     void onWelcome(Link link, PeerMessage.Welcome welcome, long nowMillis) {
-        if (!link.dialled() || link.mState != Link.State.GREETING) {
+        if (!link.dialled() || link.mState != Link.State.HANDSHAKE) {
             close(link);
             return;
         }
-        mListener.onHeard(welcome.vm(), welcome.summary());
+        mListener.onRemoteSummary(welcome.vm(), welcome.summary());
         if (link.mRole == Link.Role.PROBE) {
-            mLiveness.onProbeEnded(link.mId, true);
+            mFailureDetector.onProbeEnded(link.mId, true);
             close(link);
             return;
         }
         mNeighbours.onHints(welcome.sample());
         if (!welcome.accepted()) {
             mContext.count(GossipEvent.DIAL_REFUSED);
-            mLiveness.avoid(welcome.vm().id(), nowMillis);
+            mFailureDetector.avoid(welcome.vm().id(), nowMillis);
             close(link);
             return;
         }
@@ -173,30 +173,31 @@
     }
 
     private long dial(Vm vm, Address address, Link.Role role, long nowMillis) {
-        long id = mContext.links().nextDialled();
+        long id = mContext.links().nextDialledId();
         mContext.links().add(new Link(id, role, Link.State.DIALLING, vm, nowMillis));
-        mPort.dial(id, address);
+        mTransport.dial(id, address);
         return id;
     }
 
-    private void watch(Link link, long nowMillis) {
+    private void checkTimeouts(Link link, long nowMillis) {
         GossipSettings settings = mContext.settings();
         if (!link.established()) {
-            long limitMillis = mHealth.stretch(settings.dialTimeoutMillis());
+            long limitMillis = mHealthMultiplier.scale(settings.dialTimeoutMillis());
             if (nowMillis - link.mOpenedAtMillis > limitMillis) {
                 close(link);
-                onLost(link, nowMillis);
+                onDisconnected(link, nowMillis);
             }
             return;
         }
-        if (nowMillis - link.mLastHeardMillis > mHealth.stretch(settings.silenceMillis())) {
+        if (nowMillis - link.mLastReceivedMillis
+                > mHealthMultiplier.scale(settings.linkTimeoutMillis())) {
             // Something between the two ends may have lost track of this connection while new ones
             // work. TCP would tell after minutes; until then the peer would seem dead and its news
             // would not come. A new connection shows at once which of the two is the case.
             mContext.count(GossipEvent.LINK_SILENT);
-            mHealth.onTrouble();
+            mHealthMultiplier.onFailure();
             close(link);
-            onLost(link, nowMillis);
+            onDisconnected(link, nowMillis);
             return;
         }
         boolean due = nowMillis - link.mLastPingMillis >= settings.heartbeatMillis();
@@ -208,21 +209,21 @@
     private void ping(Link link, long nowMillis) {
         if (link.established()) {
             link.mLastPingMillis = nowMillis;
-            mPort.send(link.mId, new PeerMessage.Ping(++mSequence, mListener.summary()));
+            mTransport.send(link.mId, new PeerMessage.Ping(++mPingSequence, mListener.summary()));
         }
     }
 
     private void close(Link link) {
         mContext.links().remove(link.mId);
-        mListener.onEnded(link);
-        mPort.close(link.mId);
+        mListener.onClosed(link);
+        mTransport.close(link.mId);
     }
 
     /** Finds out whether the peer of a link that ended is gone, or only the link. */
-    private void onLost(Link link, long nowMillis) {
+    private void onDisconnected(Link link, long nowMillis) {
         Vm remote = link.mRemote;
         boolean expected =
-                remote == null || mView.get().leaving(remote.id()) || mAnnouncer.leavingWhole();
+                remote == null || mView.get().leaving(remote.id()) || mAnnouncer.isVmLeaving();
         if (link.mState == Link.State.ESTABLISHED) {
             Link.Role role = link.dialled() ? Link.Role.NEIGHBOUR : Link.Role.PROBE;
             if (!expected && !mContext.links().linkedTo(remote.id())) {
@@ -234,15 +235,16 @@
             return;
         }
         mContext.count(GossipEvent.DIAL_FAILED);
-        boolean forOther = link.mRole == Link.Role.PROBE && mLiveness.onProbeEnded(link.mId, false);
+        boolean forOther =
+                link.mRole == Link.Role.PROBE && mFailureDetector.onProbeEnded(link.mId, false);
         if (!forOther && !expected) {
-            mLiveness.onUnreachable(remote, nowMillis);
+            mFailureDetector.onUnreachable(remote, nowMillis);
         }
     }
 
-    private void welcome(Link link, boolean accepted) {
+    private void sendWelcome(Link link, boolean accepted) {
         List<Vm> sample = mNeighbours.sample(SAMPLE_SIZE);
-        mPort.send(
+        mTransport.send(
                 link.mId,
                 new PeerMessage.Welcome(
                         GossipNode.PROTOCOL,
@@ -264,10 +266,10 @@
     }
 
     private void establish(
-            Link link, Vm remote, long incarnation, Summary summary, long nowMillis) {
+            Link link, Vm remote, long incarnation, StateSummary summary, long nowMillis) {
         link.mRemote = remote;
         link.mState = Link.State.ESTABLISHED;
-        mHealth.onSuccess();
+        mHealthMultiplier.onSuccess();
         mListener.onEstablished(link, incarnation, summary, nowMillis);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/LinkTable.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/LinkTable.java
@@ -11,7 +11,7 @@
     private final Map<Long, Link> mLinks = new LinkedHashMap<>();
     private long mNextDialled = 1;
 
-    long nextDialled() {
+    long nextDialledId() {
         return mNextDialled++;
     }
 
--- a/src/main/java/org/apricotgauge/decision/gossip/LocalHealth.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/LocalHealthMultiplier.java
@@ -6,12 +6,12 @@
  * <p>A node that is itself starved hears every peer late. Without this it would accuse healthy
  * peers; with it, its own trouble lengthens its time limits up to {@code MAX_SCORE + 1} times.
  */
-final class LocalHealth {
+final class LocalHealthMultiplier {
     private static final int MAX_SCORE = 4;
 
     private int mScore;
 
-    void onTrouble() {
+    void onFailure() {
         mScore = Math.min(MAX_SCORE, mScore + 1);
     }
 
@@ -19,7 +19,7 @@
         mScore = Math.max(0, mScore - 1);
     }
 
-    long stretch(long millis) {
+    long scale(long millis) {
         return millis * (1 + mScore);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/FleetView.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/MembershipView.java
@@ -5,27 +5,27 @@
 import java.util.Set;
 import org.apricotgauge.model.Vm;
 
-/** Merges the platform's list, liveness and notices into one {@link LiveView}. */
-final class FleetView {
+/** Merges the platform's list, liveness and notices into one {@link VmView}. */
+final class MembershipView {
 
     /** Told what changed. */
     interface Listener {
-        void onView(LiveView view);
+        void onView(VmView view);
 
         void onLeaving(LeavingNotice notice);
     }
 
     private final GossipContext mContext;
     private final ItemGossip mItems;
-    private final Liveness mLiveness;
+    private final PeerFailureDetector mLiveness;
     private final Announcer mAnnouncer;
     private final Listener mListener;
-    private LiveView mView = LiveView.EMPTY;
+    private VmView mView = VmView.EMPTY;
 
-    FleetView(
+    MembershipView(
             GossipContext context,
             ItemGossip items,
-            Liveness liveness,
+            PeerFailureDetector liveness,
             Announcer announcer,
             Listener listener) {
         mContext = context;
@@ -35,12 +35,12 @@
         mListener = listener;
     }
 
-    LiveView view() {
+    VmView view() {
         return mView;
     }
 
     /** Returns in how many failure domains, the own one too, other nodes are known. */
-    int domainsKnown() {
+    int knownDomains() {
         Set<String> domains = new HashSet<>();
         for (Vm vm : mView.nodes()) {
             if (!vm.id().equals(mContext.self().id())) {
@@ -50,23 +50,23 @@
         return domains.size();
     }
 
-    void onLines(List<VmLine> news, List<String> forgotten) {
-        LiveView view = mView;
+    void onVmLines(List<VmLine> news, List<String> forgotten) {
+        VmView view = mView;
         for (VmLine line : news) {
             view = view.withLine(line);
         }
-        change(withNotices(view.without(forgotten)));
+        update(withNotices(view.without(forgotten)));
     }
 
     /** A peer said itself who it is. */
-    void onMet(Vm vm, long incarnation) {
+    void onPeerIdentified(Vm vm, long incarnation) {
         if (mView.vm(vm.id()) == null || incarnation > mView.incarnation(vm.id())) {
-            change(withNotices(mView.withAlive(vm, incarnation)));
+            update(withNotices(mView.withAlive(vm, incarnation)));
         }
     }
 
     void onUnreachable(String vm) {
-        change(mView.withUnreachable(vm, true));
+        update(mView.withUnreachable(vm, true));
     }
 
     void onLiveness(GossipItem item, long nowMillis) {
@@ -76,7 +76,7 @@
                 mContext.count(GossipEvent.SUSPICION_REFUTED);
                 mAnnouncer.refute(incarnation, nowMillis);
             } else {
-                change(mView.withAlive(mContext.self(), incarnation));
+                update(mView.withAlive(mContext.self(), incarnation));
             }
             return;
         }
@@ -87,35 +87,35 @@
             }
             return;
         }
-        Vm vm = VmPayload.vm(item.payload());
+        Vm vm = ItemPayloads.decodeVm(item.payload());
         if (vm != null && vm.id().equals(item.node())) {
             mLiveness.onAlive(vm.id());
-            change(withNotices(mView.withAlive(vm, incarnation)));
+            update(withNotices(mView.withAlive(vm, incarnation)));
         }
     }
 
     void onLeaving(GossipItem item, long nowMillis) {
         boolean own = item.node().equals(mContext.self().id());
-        boolean fromEarlierRun = own && !mAnnouncer.saidLeaving(item.key());
+        boolean fromEarlierRun = own && !mAnnouncer.hasAnnouncedLeaving(item.key());
         if (fromEarlierRun && item.sequence() >= mAnnouncer.incarnation()) {
             mAnnouncer.refute(item.sequence(), nowMillis);
         }
         LeavingNotice notice = new LeavingNotice(item.node(), item.key(), item.sequence());
-        change(mView.withNotice(notice));
+        update(mView.withNotice(notice));
         mListener.onLeaving(notice);
     }
 
     /** A notice may come before the VM that it is about is known. */
-    private LiveView withNotices(LiveView view) {
-        LiveView noticed = view;
-        for (GossipItem item : mItems.store().leaving()) {
+    private VmView withNotices(VmView view) {
+        VmView noticed = view;
+        for (GossipItem item : mItems.store().leavingItems()) {
             noticed =
                     noticed.withNotice(new LeavingNotice(item.node(), item.key(), item.sequence()));
         }
         return noticed;
     }
 
-    private void change(LiveView view) {
+    private void update(VmView view) {
         if (view != mView) {
             mView = view;
             mListener.onView(view);
--- a/src/main/java/org/apricotgauge/decision/gossip/Neighbours.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Neighbours.java
@@ -19,9 +19,9 @@
 final class Neighbours {
     private static final int MAX_DIALLING = 4;
     private static final int MAX_HINTS = 32;
-    private static final long HEAL_MILLIS = 5_000;
-    private static final long ANYBODY_MILLIS = 1_000;
-    private static final long SETTLE_MILLIS = 10_000;
+    private static final long HEAL_INTERVAL_MILLIS = 5_000;
+    private static final long DISCOVERY_INTERVAL_MILLIS = 1_000;
+    private static final long MIN_SURPLUS_AGE_MILLIS = 10_000;
 
     /** Opens a link to a peer; the VM is null if only its address is known. */
     interface Dialler {
@@ -29,26 +29,26 @@
     }
 
     private final GossipContext mContext;
-    private final Supplier<LiveView> mView;
-    private final Liveness mLiveness;
+    private final Supplier<VmView> mView;
+    private final PeerFailureDetector mFailureDetector;
     private final List<Address> mSeeds;
     private final Dialler mDialler;
     private final Map<String, Vm> mHints = new LinkedHashMap<>();
     private List<Vm> mNodes = List.of();
-    private LiveView mNodesOf = LiveView.EMPTY;
+    private VmView mNodesView = VmView.EMPTY;
     private long mNextRewireMillis;
     private long mNextHealMillis;
-    private long mNextAnybodyMillis;
+    private long mNextDiscoveryMillis;
 
     Neighbours(
             GossipContext context,
-            Supplier<LiveView> view,
-            Liveness liveness,
+            Supplier<VmView> view,
+            PeerFailureDetector liveness,
             List<Address> seeds,
             Dialler dialler) {
         mContext = context;
         mView = view;
-        mLiveness = liveness;
+        mFailureDetector = liveness;
         mSeeds = List.copyOf(seeds);
         mDialler = dialler;
     }
@@ -68,7 +68,7 @@
     }
 
     /** Returns a dialled link to give up for another one, or null if it isn't time. */
-    Link rewire(long nowMillis) {
+    Link linkToReplace(long nowMillis) {
         if (nowMillis < mNextRewireMillis) {
             return null;
         }
@@ -78,12 +78,12 @@
         GossipSettings settings = mContext.settings();
         int wanted = settings.ownDomainLinks() + settings.otherDomainLinks();
         List<Link> dialled = mContext.links().where(l -> l.established() && l.dialled());
-        boolean others = linkable(nodes()).stream().anyMatch(vm -> usable(vm, nowMillis));
+        boolean others = linkable(nodes()).stream().anyMatch(vm -> isUsable(vm, nowMillis));
         return first || dialled.size() < wanted || !others ? null : mContext.pick(dialled);
     }
 
     /** Returns a dialled link that is one too many by now, or null. */
-    Link surplus(long nowMillis) {
+    Link surplusLink(long nowMillis) {
         GossipSettings settings = mContext.settings();
         int own = countDialled(true);
         int other = countDialled(false);
@@ -99,30 +99,30 @@
                                                 && link.dialled()
                                                 && inOwnDomain(link) == tooManyOwn
                                                 && nowMillis - link.mOpenedAtMillis
-                                                        > SETTLE_MILLIS));
+                                                        > MIN_SURPLUS_AGE_MILLIS));
     }
 
     /** Dials what is missing. */
-    void fill(long nowMillis) {
+    void dialMissing(long nowMillis) {
         int dialling = mContext.links().count(l -> l.mState != Link.State.ESTABLISHED);
         if (dialling >= MAX_DIALLING) {
             return;
         }
-        Vm chosen = choose(nowMillis);
+        Vm chosen = chooseMissing(nowMillis);
         if (chosen == null) {
-            chosen = healing(nowMillis);
+            chosen = chooseUnreachable(nowMillis);
         }
         if (chosen != null) {
             dial(chosen, nowMillis);
-        } else if (missing() > 0) {
-            dialAnybody(nowMillis);
+        } else if (missingLinks() > 0) {
+            discover(nowMillis);
         }
     }
 
-    private Vm choose(long nowMillis) {
+    private Vm chooseMissing(long nowMillis) {
         GossipSettings settings = mContext.settings();
         int missingOther = settings.otherDomainLinks() - countDialled(false);
-        int missing = missing();
+        int missing = missingLinks();
         Vm chosen = null;
         if (missingOther > 0) {
             chosen = candidate(false, nowMillis);
@@ -142,11 +142,11 @@
      * <p>Two nodes that start at once may find only each other. Were one link enough, they would
      * stay an island for as long as the platform's list does not come.
      */
-    private void dialAnybody(long nowMillis) {
-        if (nowMillis < mNextAnybodyMillis) {
+    private void discover(long nowMillis) {
+        if (nowMillis < mNextDiscoveryMillis) {
             return;
         }
-        mNextAnybodyMillis = nowMillis + ANYBODY_MILLIS;
+        mNextDiscoveryMillis = nowMillis + DISCOVERY_INTERVAL_MILLIS;
         boolean alone = mContext.links().established().isEmpty();
         Vm anybody = alone ? mContext.pick(linkable(nodes())) : null;
         Vm hint = mContext.pick(linkable(List.copyOf(mHints.values())));
@@ -175,21 +175,21 @@
                         == 0;
     }
 
-    private int missing() {
+    private int missingLinks() {
         GossipSettings settings = mContext.settings();
         int wanted = settings.ownDomainLinks() + settings.otherDomainLinks();
         return wanted - countDialled(true) - countDialled(false);
     }
 
-    private Vm healing(long nowMillis) {
+    private Vm chooseUnreachable(long nowMillis) {
         // In a partition the whole other side ends up suspected. Were it never dialled again, the
         // two sides would stay apart after the partition has healed. The chance keeps the dials
         // that one unreachable node gets at about one in HEAL_MILLIS, whatever the fleet's size.
         if (nowMillis < mNextHealMillis) {
             return null;
         }
-        mNextHealMillis = nowMillis + HEAL_MILLIS;
-        LiveView view = mView.get();
+        mNextHealMillis = nowMillis + HEAL_INTERVAL_MILLIS;
+        VmView view = mView.get();
         List<Vm> lost = linkable(nodes()).stream().filter(vm -> view.unreachable(vm.id())).toList();
         boolean now = mContext.random().nextInt(1 + nodes().size()) < lost.size();
         return now ? mContext.pick(lost) : null;
@@ -201,7 +201,7 @@
         List<Vm> newDomains = new ArrayList<>();
         for (Vm vm : linkable(nodes())) {
             boolean wanted = vm.failureDomain().equals(domain) == ownDomain;
-            if (wanted && usable(vm, nowMillis)) {
+            if (wanted && isUsable(vm, nowMillis)) {
                 choices.add(vm);
                 if (!linkedIn(vm.failureDomain())) {
                     newDomains.add(vm);
@@ -222,8 +222,8 @@
                 > 0;
     }
 
-    private boolean usable(Vm vm, long nowMillis) {
-        return !mView.get().unreachable(vm.id()) && !mLiveness.avoided(vm.id(), nowMillis);
+    private boolean isUsable(Vm vm, long nowMillis) {
+        return !mView.get().unreachable(vm.id()) && !mFailureDetector.isAvoided(vm.id(), nowMillis);
     }
 
     private List<Vm> linkable(List<Vm> vms) {
@@ -252,9 +252,9 @@
     }
 
     private List<Vm> nodes() {
-        LiveView view = mView.get();
-        if (view != mNodesOf) {
-            mNodesOf = view;
+        VmView view = mView.get();
+        if (view != mNodesView) {
+            mNodesView = view;
             mNodes = view.nodes();
         }
         return mNodes;
--- a/src/main/java/org/apricotgauge/decision/gossip/Liveness.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/PeerFailureDetector.java
@@ -16,36 +16,36 @@
  * is then merely avoided from here. If nobody answers at all, this node may be the one that is cut
  * off, and accuses nobody.
  */
-final class Liveness {
-    private static final int HELPERS = 3;
-    private static final int MAX_CHECKS = 64;
-    private static final int MAX_PROBES = 8;
+final class PeerFailureDetector {
+    private static final int MAX_HELPERS = 3;
+    private static final int MAX_INDIRECT_PROBES = 64;
+    private static final int MAX_PROBES_FOR_OTHERS = 8;
     private static final int MAX_AVOIDED = 1_024;
     private static final long AVOID_MILLIS = 10_000;
     private static final long AVOID_PATH_FAULT_MILLIS = 60_000;
-    private static final long CHECK_MILLIS = 5_000;
+    private static final long INDIRECT_PROBE_TIMEOUT_MILLIS = 5_000;
 
-    private static final class Check {
+    private static final class IndirectProbe {
         final Vm mVm;
         final long mDeadlineMillis;
-        final int mAsked;
-        int mFailed;
+        final int mHelperCount;
+        int mFailedCount;
 
-        Check(Vm vm, long deadlineMillis, int asked) {
+        IndirectProbe(Vm vm, long deadlineMillis, int asked) {
             mVm = vm;
             mDeadlineMillis = deadlineMillis;
-            mAsked = asked;
+            mHelperCount = asked;
         }
     }
 
     private record Requester(long link, long nonce) {}
 
     private final GossipContext mContext;
-    private final PeerPort<?> mPort;
-    private final LocalHealth mHealth;
-    private final BiConsumer<Vm, Long> mAccuse;
-    private final Map<Long, Check> mChecks = new HashMap<>();
-    private final Map<Long, Requester> mProbes = new HashMap<>();
+    private final PeerTransport<?> mTransport;
+    private final LocalHealthMultiplier mHealthMultiplier;
+    private final BiConsumer<Vm, Long> mSuspicionHandler;
+    private final Map<Long, IndirectProbe> mIndirectProbes = new HashMap<>();
+    private final Map<Long, Requester> mProbesForOthers = new HashMap<>();
     private final Map<String, Long> mSuspectSinceMillis = new HashMap<>();
     private final Map<String, Long> mAvoidUntilMillis =
             new LinkedHashMap<>() {
@@ -56,18 +56,18 @@
             };
     private long mNextNonce = 1;
 
-    Liveness(
+    PeerFailureDetector(
             GossipContext context,
-            PeerPort<?> port,
-            LocalHealth health,
+            PeerTransport<?> port,
+            LocalHealthMultiplier health,
             BiConsumer<Vm, Long> accuse) {
         mContext = context;
-        mPort = port;
-        mHealth = health;
-        mAccuse = accuse;
+        mTransport = port;
+        mHealthMultiplier = health;
+        mSuspicionHandler = accuse;
     }
 
-    boolean avoided(String vm, long nowMillis) {
+    boolean isAvoided(String vm, long nowMillis) {
         return mAvoidUntilMillis.getOrDefault(vm, Long.MIN_VALUE) > nowMillis;
     }
 
@@ -81,22 +81,23 @@
         avoid(vm.id(), nowMillis);
         boolean underCheck =
                 mSuspectSinceMillis.containsKey(vm.id())
-                        || mChecks.values().stream().anyMatch(c -> c.mVm.id().equals(vm.id()));
-        if (underCheck || mChecks.size() >= MAX_CHECKS) {
+                        || mIndirectProbes.values().stream()
+                                .anyMatch(c -> c.mVm.id().equals(vm.id()));
+        if (underCheck || mIndirectProbes.size() >= MAX_INDIRECT_PROBES) {
             return;
         }
         List<Link> others =
                 mContext.links()
                         .where(link -> link.established() && !link.mRemote.id().equals(vm.id()));
-        List<Link> helpers = mContext.sample(others, HELPERS);
+        List<Link> helpers = mContext.sample(others, MAX_HELPERS);
         if (helpers.isEmpty()) {
             return;
         }
         long nonce = mNextNonce++;
-        long deadlineMillis = nowMillis + mHealth.stretch(CHECK_MILLIS);
-        mChecks.put(nonce, new Check(vm, deadlineMillis, helpers.size()));
+        long deadlineMillis = nowMillis + mHealthMultiplier.scale(INDIRECT_PROBE_TIMEOUT_MILLIS);
+        mIndirectProbes.put(nonce, new IndirectProbe(vm, deadlineMillis, helpers.size()));
         for (Link helper : helpers) {
-            mPort.send(helper.mId, new PeerMessage.ProbeRequest(nonce, vm));
+            mTransport.send(helper.mId, new PeerMessage.ProbeRequest(nonce, vm));
         }
     }
 
@@ -115,44 +116,46 @@
                                                         && other.mRemote
                                                                 .id()
                                                                 .equals(request.vm().id())
-                                                        && other.mLastHeardMillis >= recentMillis)
+                                                        && other.mLastReceivedMillis
+                                                                >= recentMillis)
                         > 0;
         if (heard) {
-            mPort.send(link.mId, new PeerMessage.ProbeResult(request.nonce(), true));
+            mTransport.send(link.mId, new PeerMessage.ProbeResult(request.nonce(), true));
             return false;
         }
-        return mProbes.size() < MAX_PROBES;
+        return mProbesForOthers.size() < MAX_PROBES_FOR_OTHERS;
     }
 
     void onProbeDialled(long probe, long requester, long nonce) {
-        mProbes.put(probe, new Requester(requester, nonce));
+        mProbesForOthers.put(probe, new Requester(requester, nonce));
     }
 
     /** A probe that we dialled ended; returns whether it was on behalf of another node. */
     boolean onProbeEnded(long probe, boolean reachable) {
-        Requester requester = mProbes.remove(probe);
+        Requester requester = mProbesForOthers.remove(probe);
         if (requester == null) {
             return false;
         }
-        mPort.send(requester.link(), new PeerMessage.ProbeResult(requester.nonce(), reachable));
+        mTransport.send(
+                requester.link(), new PeerMessage.ProbeResult(requester.nonce(), reachable));
         return true;
     }
 
     void onProbeResult(PeerMessage.ProbeResult result, long nowMillis) {
-        Check check = mChecks.get(result.nonce());
+        IndirectProbe check = mIndirectProbes.get(result.nonce());
         if (check == null) {
             return;
         }
         if (result.reachable()) {
-            mChecks.remove(result.nonce());
+            mIndirectProbes.remove(result.nonce());
             mAvoidUntilMillis.put(check.mVm.id(), nowMillis + AVOID_PATH_FAULT_MILLIS);
             mContext.count(GossipEvent.PATH_FAULT);
             return;
         }
-        check.mFailed++;
-        if (check.mFailed == check.mAsked) {
-            mChecks.remove(result.nonce());
-            accuse(check.mVm, nowMillis);
+        check.mFailedCount++;
+        if (check.mFailedCount == check.mHelperCount) {
+            mIndirectProbes.remove(result.nonce());
+            raiseSuspicion(check.mVm, nowMillis);
         }
     }
 
@@ -167,17 +170,17 @@
 
     /** Returns the peers whose suspicion has now stood long enough. */
     List<String> tick(long nowMillis) {
-        Iterator<Check> checks = mChecks.values().iterator();
+        Iterator<IndirectProbe> checks = mIndirectProbes.values().iterator();
         while (checks.hasNext()) {
-            Check check = checks.next();
+            IndirectProbe check = checks.next();
             if (nowMillis >= check.mDeadlineMillis) {
                 checks.remove();
-                if (check.mFailed > 0) {
-                    accuse(check.mVm, nowMillis);
+                if (check.mFailedCount > 0) {
+                    raiseSuspicion(check.mVm, nowMillis);
                 }
             }
         }
-        long dueMillis = nowMillis - mContext.settings().suspicionMillis();
+        long dueMillis = nowMillis - mContext.settings().suspicionTimeoutMillis();
         List<String> gone =
                 mSuspectSinceMillis.entrySet().stream()
                         .filter(entry -> entry.getValue() <= dueMillis)
@@ -187,8 +190,8 @@
         return gone;
     }
 
-    private void accuse(Vm vm, long nowMillis) {
+    private void raiseSuspicion(Vm vm, long nowMillis) {
         mContext.count(GossipEvent.SUSPICION_RAISED);
-        mAccuse.accept(vm, nowMillis);
+        mSuspicionHandler.accept(vm, nowMillis);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/PeerMessage.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/PeerMessage.java
@@ -27,7 +27,7 @@
             Purpose purpose,
             Vm vm,
             long incarnation,
-            Summary summary)
+            StateSummary summary)
             implements PeerMessage {
 
         /** Checks the parts. */
@@ -45,7 +45,7 @@
             boolean accepted,
             Vm vm,
             long incarnation,
-            Summary summary,
+            StateSummary summary,
             List<Vm> sample)
             implements PeerMessage {
 
@@ -58,7 +58,7 @@
     }
 
     /** Heartbeat; answered by {@link Ack} with the same sequence. */
-    record Ping(long sequence, Summary summary) implements PeerMessage {
+    record Ping(long sequence, StateSummary summary) implements PeerMessage {
 
         /** Checks the parts. */
         public Ping {
@@ -67,7 +67,7 @@
     }
 
     /** Answer to a heartbeat. */
-    record Ack(long sequence, Summary summary) implements PeerMessage {
+    record Ack(long sequence, StateSummary summary) implements PeerMessage {
 
         /** Checks the parts. */
         public Ack {
@@ -76,7 +76,7 @@
     }
 
     /** Tells at once that something new is here, too large to push. */
-    record Have(Summary summary) implements PeerMessage {
+    record Have(StateSummary summary) implements PeerMessage {
 
         /** Checks the parts. */
         public Have {
--- a/src/main/java/org/apricotgauge/decision/gossip/PeerPort.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/PeerTransport.java
@@ -11,7 +11,7 @@
  *
  * @param <H> a folded history
  */
-public interface PeerPort<H> {
+public interface PeerTransport<H> {
 
     /** Dials; ends in {@link GossipNode#onConnected} or {@link GossipNode#onClosed}. */
     void dial(long link, Address address);
@@ -22,9 +22,12 @@
     /** Closes a link; no {@link GossipNode#onClosed} follows. */
     void close(long link);
 
-    /** Writes a snapshot elsewhere; ends in {@link GossipNode#onEncoded}. */
-    void encode(H history);
+    /** Writes a snapshot elsewhere; ends in {@link GossipNode#onSnapshotEncoded}. */
+    void encodeSnapshot(H history);
 
-    /** Reads a snapshot elsewhere; ends in {@link GossipNode#onDecoded}, with null on failure. */
-    void decode(List<byte[]> chunks);
+    /**
+     * Reads a snapshot elsewhere; ends in {@link GossipNode#onSnapshotDecoded}, with null on
+     * failure.
+     */
+    void decodeSnapshot(List<byte[]> chunks);
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/OpeningPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ReadinessPolicy.java
@@ -11,65 +11,65 @@
  * {@code patienceMillis} on what the others said. If nobody answers it stays closed: it cannot know
  * any route, and the callers' other nodes serve.
  */
-public final class OpeningPolicy {
-    private static final int WANTED_DOMAINS = 3;
+public final class ReadinessPolicy {
+    private static final int REQUIRED_DOMAINS = 3;
 
     /**
      * What the node has learned so far.
      *
      * @param position its log position
-     * @param highestHeard the highest position that the platform or a peer showed
+     * @param highestKnownPosition the highest position that the platform or a peer showed
      * @param platformAnswered whether the platform told its head
      * @param platformFailed whether a call to the platform failed
      * @param vmsListed whether anybody has told which VMs there are
-     * @param domainsHeard from how many failure domains a peer has answered
-     * @param domainsKnown in how many failure domains other nodes are known
-     * @param waitedMillis time since the start
+     * @param respondingDomains from how many failure domains a peer has answered
+     * @param knownDomains in how many failure domains other nodes are known
+     * @param elapsedMillis time since the start
      */
     public record Observation(
             long position,
-            long highestHeard,
+            long highestKnownPosition,
             boolean platformAnswered,
             boolean platformFailed,
             boolean vmsListed,
-            int domainsHeard,
-            int domainsKnown,
-            long waitedMillis) {}
+            int respondingDomains,
+            int knownDomains,
+            long elapsedMillis) {}
 
     /** Whether to open, or what it waits for. */
     public enum Decision {
         /** Open to callers. */
-        OPEN,
+        READY,
         /** Somebody holds a later version; it is on its way. */
-        WAIT_FOR_RECORDS,
+        CATCHING_UP,
         /** Too few have answered so far. */
-        WAIT_FOR_ANSWERS,
+        WAIT_FOR_RESPONSES,
         /** Nobody has answered at all. */
-        WAIT_ALONE
+        NO_RESPONSE
     }
 
-    private final long mPatienceMillis;
+    private final long mTimeoutMillis;
 
     /** Creates a policy that waits so long for those who stay silent. */
-    public OpeningPolicy(long patienceMillis) {
-        mPatienceMillis = Checks.inRange("patienceMillis", patienceMillis, 0, Long.MAX_VALUE);
+    public ReadinessPolicy(long patienceMillis) {
+        mTimeoutMillis = Checks.inRange("patienceMillis", patienceMillis, 0, Long.MAX_VALUE);
     }
 
     /** Decides on what is known now. */
     public Decision decide(Observation seen) {
-        if (!seen.platformAnswered() && seen.domainsHeard() == 0) {
-            return Decision.WAIT_ALONE;
+        if (!seen.platformAnswered() && seen.respondingDomains() == 0) {
+            return Decision.NO_RESPONSE;
         }
-        if (seen.position() < seen.highestHeard()) {
-            return Decision.WAIT_FOR_RECORDS;
+        if (seen.position() < seen.highestKnownPosition()) {
+            return Decision.CATCHING_UP;
         }
         boolean platformSettled = seen.platformAnswered() || seen.platformFailed();
-        int wanted = Math.min(WANTED_DOMAINS, seen.domainsKnown());
+        int wanted = Math.min(REQUIRED_DOMAINS, seen.knownDomains());
         // Before the list of VMs is here no other node is known, and "all known ones answered"
         // would hold at once, on the word of a platform that may be stale.
-        boolean enough = platformSettled && seen.vmsListed() && seen.domainsHeard() >= wanted;
-        return enough || seen.waitedMillis() >= mPatienceMillis
-                ? Decision.OPEN
-                : Decision.WAIT_FOR_ANSWERS;
+        boolean enough = platformSettled && seen.vmsListed() && seen.respondingDomains() >= wanted;
+        return enough || seen.elapsedMillis() >= mTimeoutMillis
+                ? Decision.READY
+                : Decision.WAIT_FOR_RESPONSES;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/Replica.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Replica.java
@@ -21,7 +21,7 @@
     private static final int MAX_DIGESTS = 16_384;
 
     /** What came of an offer. */
-    enum Verdict {
+    enum ApplyResult {
         APPLIED,
         KNOWN,
         GAP,
@@ -84,39 +84,39 @@
      *
      * @param digest the digest after it by its sender, or null if the sender gives none
      */
-    Verdict offer(LogRecord record, String digest) {
+    ApplyResult offer(LogRecord record, String digest) {
         if (record.position() > position() + 1) {
-            return Verdict.GAP;
+            return ApplyResult.GAP;
         }
         if (record.position() <= position()) {
-            return differsFromOurs(record, digest) ? Verdict.CONFLICT : Verdict.KNOWN;
+            return conflictsWithHistory(record, digest) ? ApplyResult.CONFLICT : ApplyResult.KNOWN;
         }
         H next = mFold.apply(mHistory, record);
         if (next == null) {
-            return Verdict.UNREADABLE;
+            return ApplyResult.UNREADABLE;
         }
         // The sender's history may differ from ours before this record. Adopting its record would
         // mix two histories under one version, so the digest is checked before the swap.
         if (digest != null && !digest.equals(mFold.digest(next))) {
-            return Verdict.CONFLICT;
+            return ApplyResult.CONFLICT;
         }
-        moveTo(next);
+        advanceTo(next);
         retain(new DigestedRecord(record, digest()));
-        return Verdict.APPLIED;
+        return ApplyResult.APPLIED;
     }
 
     /** Takes over a snapshot if it is ahead of us. */
-    Verdict adopt(H snapshot, String digest) {
+    ApplyResult adoptSnapshot(H snapshot, String digest) {
         if (!mFold.digest(snapshot).equals(digest)) {
-            return Verdict.CONFLICT;
+            return ApplyResult.CONFLICT;
         }
         if (mFold.position(snapshot) <= position()) {
-            return Verdict.KNOWN;
+            return ApplyResult.KNOWN;
         }
-        moveTo(snapshot);
+        advanceTo(snapshot);
         mRetained.clear();
         mRetainedChars = 0;
-        return Verdict.APPLIED;
+        return ApplyResult.APPLIED;
     }
 
     /** Returns records after a position, or an empty list if some are no longer kept. */
@@ -139,7 +139,7 @@
         return records;
     }
 
-    private boolean differsFromOurs(LogRecord record, String digest) {
+    private boolean conflictsWithHistory(LogRecord record, String digest) {
         if (digest != null) {
             String ours = mDigests.get(record.position());
             return ours != null && !ours.equals(digest);
@@ -152,7 +152,7 @@
         return false;
     }
 
-    private void moveTo(H next) {
+    private void advanceTo(H next) {
         if (mFold.position(next) <= position()) {
             throw new IllegalStateException(
                     "position fell from " + position() + " to " + mFold.position(next));
--- a/src/main/java/org/apricotgauge/decision/gossip/SnapshotFetch.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/SnapshotFetch.java
@@ -10,13 +10,13 @@
     final List<byte[]> mChunks = new ArrayList<>();
     long mDeadlineMillis;
     private final long mPosition;
-    private final int mCount;
+    private final int mChunkCount;
 
     SnapshotFetch(long link, PeerMessage.SnapshotChunk first) {
         mLink = link;
         mDigest = first.digest();
         mPosition = first.position();
-        mCount = first.chunks();
+        mChunkCount = first.chunks();
     }
 
     boolean accept(long link, PeerMessage.SnapshotChunk chunk) {
@@ -28,6 +28,6 @@
     }
 
     boolean complete() {
-        return mChunks.size() == mCount;
+        return mChunks.size() == mChunkCount;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/SnapshotDonor.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/SnapshotServer.java
@@ -8,14 +8,14 @@
  *
  * @param <H> a folded history
  */
-final class SnapshotDonor<H> {
-    private static final long KEEP_MILLIS = 60_000;
+final class SnapshotServer<H> {
+    private static final long CACHE_MILLIS = 60_000;
 
-    private static final int MAX_WAITING = 64;
+    private static final int MAX_WAITING_LINKS = 64;
 
-    private final PeerPort<H> mPort;
+    private final PeerTransport<H> mTransport;
     private final Replica<H> mReplica;
-    private final List<Long> mWaiting = new ArrayList<>();
+    private final List<Long> mWaitingLinks = new ArrayList<>();
     private List<byte[]> mChunks = List.of();
     private long mPosition;
     private String mDigest = "";
@@ -24,8 +24,8 @@
     private long mEncodingPosition;
     private String mEncodingDigest = "";
 
-    SnapshotDonor(PeerPort<H> port, Replica<H> replica) {
-        mPort = port;
+    SnapshotServer(PeerTransport<H> port, Replica<H> replica) {
+        mTransport = port;
         mReplica = replica;
     }
 
@@ -37,8 +37,8 @@
             mChunks = List.of();
         }
         if (mChunks.isEmpty()) {
-            if (mWaiting.size() < MAX_WAITING) {
-                mWaiting.add(link);
+            if (mWaitingLinks.size() < MAX_WAITING_LINKS) {
+                mWaitingLinks.add(link);
             }
             startEncoding();
             return;
@@ -53,15 +53,15 @@
         mPosition = mEncodingPosition;
         mDigest = mEncodingDigest;
         mEncodedAtMillis = nowMillis;
-        for (long link : mWaiting) {
+        for (long link : mWaitingLinks) {
             send(link, 0);
         }
-        mWaiting.clear();
+        mWaitingLinks.clear();
     }
 
     void tick(long nowMillis) {
         // Full size is tens of megabytes; it is not kept when nobody starts.
-        if (!mChunks.isEmpty() && nowMillis - mEncodedAtMillis > KEEP_MILLIS) {
+        if (!mChunks.isEmpty() && nowMillis - mEncodedAtMillis > CACHE_MILLIS) {
             mChunks = List.of();
         }
     }
@@ -73,11 +73,11 @@
         mEncoding = true;
         mEncodingPosition = mReplica.position();
         mEncodingDigest = mReplica.digest();
-        mPort.encode(mReplica.history());
+        mTransport.encodeSnapshot(mReplica.history());
     }
 
     private void send(long link, int chunk) {
-        mPort.send(
+        mTransport.send(
                 link,
                 new PeerMessage.SnapshotChunk(
                         mPosition, mDigest, chunk, mChunks.size(), mChunks.get(chunk)));
--- a/src/main/java/org/apricotgauge/decision/gossip/FreshnessGuard.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/StalenessGate.java
@@ -25,18 +25,18 @@
  * that nobody confirms refuse all work for as long as the jump is wide. Safe to share between
  * threads.
  */
-public final class FreshnessGuard {
-    private static final long NOT_WOKEN = Long.MIN_VALUE;
+public final class StalenessGate {
+    private static final long NOT_RESUMED = Long.MIN_VALUE;
 
-    private final long mPauseMillis;
-    private final long mConfirmMillis;
-    private final AtomicReference<Moment> mLastTick;
-    private final AtomicLong mWokeAtSteadyMillis = new AtomicLong(NOT_WOKEN);
+    private final long mPauseThresholdMillis;
+    private final long mConfirmationTimeoutMillis;
+    private final AtomicReference<ClockReading> mLastTick;
+    private final AtomicLong mResumedAtMonotonicMillis = new AtomicLong(NOT_RESUMED);
 
-    private record Moment(long steadyMillis, long wallMillis) {
+    private record ClockReading(long monotonicMillis, long wallMillis) {
         /** Returns the longer of the times that have passed on the two clocks, in milliseconds. */
-        long untilMillis(Moment later) {
-            return Math.max(later.steadyMillis - steadyMillis, later.wallMillis - wallMillis);
+        long elapsedMillis(ClockReading later) {
+            return Math.max(later.monotonicMillis - monotonicMillis, later.wallMillis - wallMillis);
         }
     }
 
@@ -47,7 +47,7 @@
      * @param confirmMillis how long to wait for a confirmation after a pause
      * @param nowMillis present time
      */
-    public FreshnessGuard(long pauseMillis, long confirmMillis, long nowMillis) {
+    public StalenessGate(long pauseMillis, long confirmMillis, long nowMillis) {
         this(pauseMillis, confirmMillis, nowMillis, nowMillis);
     }
 
@@ -59,11 +59,11 @@
      * @param steadyMillis present reading of the steady clock
      * @param wallMillis present time of day
      */
-    public FreshnessGuard(
-            long pauseMillis, long confirmMillis, long steadyMillis, long wallMillis) {
-        mPauseMillis = Checks.inRange("pauseMillis", pauseMillis, 1, Long.MAX_VALUE);
-        mConfirmMillis = Checks.inRange("confirmMillis", confirmMillis, 0, Long.MAX_VALUE);
-        mLastTick = new AtomicReference<>(new Moment(steadyMillis, wallMillis));
+    public StalenessGate(long pauseMillis, long confirmMillis, long steadyMillis, long wallMillis) {
+        mPauseThresholdMillis = Checks.inRange("pauseMillis", pauseMillis, 1, Long.MAX_VALUE);
+        mConfirmationTimeoutMillis =
+                Checks.inRange("confirmMillis", confirmMillis, 0, Long.MAX_VALUE);
+        mLastTick = new AtomicReference<>(new ClockReading(steadyMillis, wallMillis));
     }
 
     /** Notes that the process runs, by its one clock; returns whether it woke just now. */
@@ -73,17 +73,17 @@
 
     /** Notes that the process runs; returns whether it woke from a pause just now. */
     public boolean onTick(long steadyMillis, long wallMillis) {
-        Moment now = new Moment(steadyMillis, wallMillis);
-        boolean woke = mLastTick.getAndSet(now).untilMillis(now) > mPauseMillis;
+        ClockReading now = new ClockReading(steadyMillis, wallMillis);
+        boolean woke = mLastTick.getAndSet(now).elapsedMillis(now) > mPauseThresholdMillis;
         if (woke) {
-            mWokeAtSteadyMillis.set(steadyMillis);
+            mResumedAtMonotonicMillis.set(steadyMillis);
         }
         return woke;
     }
 
     /** Notes that somebody confirmed, in answer to a question put after the pause. */
     public void onConfirmed() {
-        mWokeAtSteadyMillis.set(NOT_WOKEN);
+        mResumedAtMonotonicMillis.set(NOT_RESUMED);
     }
 
     /** Returns whether old state may be acted on, by the process's one clock. */
@@ -95,10 +95,12 @@
     public boolean mayAct(long steadyMillis, long wallMillis) {
         // This clause covers the moment after waking at which a request is read before the control
         // thread has had its first tick.
-        if (mLastTick.get().untilMillis(new Moment(steadyMillis, wallMillis)) > mPauseMillis) {
+        if (mLastTick.get().elapsedMillis(new ClockReading(steadyMillis, wallMillis))
+                > mPauseThresholdMillis) {
             return false;
         }
-        long wokeAtMillis = mWokeAtSteadyMillis.get();
-        return wokeAtMillis == NOT_WOKEN || steadyMillis - wokeAtMillis > mConfirmMillis;
+        long wokeAtMillis = mResumedAtMonotonicMillis.get();
+        return wokeAtMillis == NOT_RESUMED
+                || steadyMillis - wokeAtMillis > mConfirmationTimeoutMillis;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/Summary.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/StateSummary.java
@@ -11,10 +11,10 @@
  * @param vmRevision revision of its list of VMs
  * @param itemsHash hash over its liveness, leaving and watch items, independent of their order
  */
-public record Summary(long position, String digest, long vmRevision, long itemsHash) {
+public record StateSummary(long position, String digest, long vmRevision, long itemsHash) {
 
     /** Checks the parts. */
-    public Summary {
+    public StateSummary {
         Checks.inRange("position", position, 0, Long.MAX_VALUE);
         Checks.notNull("digest", digest);
         Checks.inRange("vmRevision", vmRevision, 0, Long.MAX_VALUE);
--- a/src/main/java/org/apricotgauge/decision/gossip/VmSync.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/VmSync.java
@@ -8,29 +8,33 @@
 
 /** Brings the platform's list of VMs to every node: announced in summaries, pulled by revision. */
 final class VmSync {
-    private static final int PAGE_LINES = 500;
+    private static final int MAX_LINES_PER_MESSAGE = 500;
     private static final long PULL_TIMEOUT_MILLIS = 500;
     private static final long REMOVAL_WINDOW_MILLIS = 60_000;
-    private static final int REMOVAL_SHARE = 10;
-    private static final int ALWAYS_REMOVABLE = 3;
+    private static final int REMOVAL_SHARE_DIVISOR = 10;
+    private static final int MIN_ALLOWED_REMOVALS = 3;
 
     /** Told which lines are news. */
     interface Listener {
-        void onLines(List<VmLine> news, List<String> forgotten);
+        void onVmLines(List<VmLine> news, List<String> forgotten);
     }
 
     private final GossipContext mContext;
-    private final PeerPort<?> mPort;
+    private final PeerTransport<?> mTransport;
     private final Listener mListener;
     private final Consumer<Link> mAnnounce;
     private final VmTable mTable = new VmTable();
-    private long mPullUntilMillis;
+    private long mPullDeadlineMillis;
     private long mWindowStartMillis;
     private int mRemovedInWindow;
 
-    VmSync(GossipContext context, PeerPort<?> port, Listener listener, Consumer<Link> announce) {
+    VmSync(
+            GossipContext context,
+            PeerTransport<?> port,
+            Listener listener,
+            Consumer<Link> announce) {
         mContext = context;
-        mPort = port;
+        mTransport = port;
         mListener = listener;
         mAnnounce = announce;
     }
@@ -39,7 +43,7 @@
         return mTable.revision();
     }
 
-    void onSummary(Link link, Summary summary, long nowMillis) {
+    void onSummary(Link link, StateSummary summary, long nowMillis) {
         if (summary.vmRevision() > mTable.revision()) {
             pullFrom(link, nowMillis);
         }
@@ -47,16 +51,16 @@
 
     void onRequest(Link link, long sinceRevision) {
         if (sinceRevision < mTable.revision()) {
-            mPort.send(link.mId, mTable.changesSince(sinceRevision, PAGE_LINES));
+            mTransport.send(link.mId, mTable.changesSince(sinceRevision, MAX_LINES_PER_MESSAGE));
         }
     }
 
     void onChanges(Link link, PeerMessage.VmChanges changes, long nowMillis) {
-        mPullUntilMillis = 0;
+        mPullDeadlineMillis = 0;
         long before = mTable.revision();
         List<VmLine> news =
                 mTable.apply(changes.sinceRevision(), changes.revision(), changes.lines());
-        tell(news);
+        notifyListener(news);
         if (mTable.revision() == before) {
             return;
         }
@@ -81,13 +85,13 @@
         for (VmStatus status : page.vms()) {
             lines.add(new VmLine(page.revision(), status.vm().id(), status));
         }
-        if (believable(page.removed().size(), nowMillis)) {
+        if (areRemovalsPlausible(page.removed().size(), nowMillis)) {
             page.removed().forEach(id -> lines.add(new VmLine(page.revision(), id, null)));
         } else {
             mContext.count(GossipEvent.IMPLAUSIBLE_VM_LIST);
         }
         long before = mTable.revision();
-        tell(mTable.apply(sinceRevision, page.revision(), lines));
+        notifyListener(mTable.apply(sinceRevision, page.revision(), lines));
         if (mTable.revision() > before) {
             mAnnounce.accept(null);
         }
@@ -107,7 +111,7 @@
         }
     }
 
-    private boolean believable(int removed, long nowMillis) {
+    private boolean areRemovalsPlausible(int removed, long nowMillis) {
         // An empty or truncated list looks like the removal of most VMs. Believed, it would take
         // all targets from all callers at once. VMs that are truly gone are found unreachable.
         if (removed == 0) {
@@ -117,7 +121,7 @@
             mWindowStartMillis = nowMillis;
             mRemovedInWindow = 0;
         }
-        int allowed = Math.max(ALWAYS_REMOVABLE, mTable.listed() / REMOVAL_SHARE);
+        int allowed = Math.max(MIN_ALLOWED_REMOVALS, mTable.listedCount() / REMOVAL_SHARE_DIVISOR);
         if (mRemovedInWindow + removed > allowed) {
             return false;
         }
@@ -126,17 +130,17 @@
     }
 
     private void pullFrom(Link link, long nowMillis) {
-        if (!link.established() || nowMillis < mPullUntilMillis) {
+        if (!link.established() || nowMillis < mPullDeadlineMillis) {
             return;
         }
-        mPullUntilMillis = nowMillis + PULL_TIMEOUT_MILLIS;
-        mPort.send(link.mId, new PeerMessage.VmsRequest(mTable.revision()));
+        mPullDeadlineMillis = nowMillis + PULL_TIMEOUT_MILLIS;
+        mTransport.send(link.mId, new PeerMessage.VmsRequest(mTable.revision()));
     }
 
-    private void tell(List<VmLine> news) {
-        List<String> forgotten = mTable.forgetOldRemovals();
+    private void notifyListener(List<VmLine> news) {
+        List<String> forgotten = mTable.evictOldRemovals();
         if (!news.isEmpty() || !forgotten.isEmpty()) {
-            mListener.onLines(news, forgotten);
+            mListener.onVmLines(news, forgotten);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/VmTable.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/VmTable.java
@@ -19,14 +19,14 @@
     private final Map<String, VmLine> mLines = new HashMap<>();
     private final NavigableMap<Long, Map<String, VmLine>> mByRevision = new TreeMap<>();
     private long mRevision;
-    private int mRemoved;
+    private int mRemovedCount;
 
     long revision() {
         return mRevision;
     }
 
-    int listed() {
-        return mLines.size() - mRemoved;
+    int listedCount() {
+        return mLines.size() - mRemovedCount;
     }
 
     /**
@@ -74,7 +74,7 @@
         mLines.put(line.id(), line);
         mByRevision.computeIfAbsent(line.revision(), r -> new HashMap<>()).put(line.id(), line);
         if (line.removed()) {
-            mRemoved++;
+            mRemovedCount++;
         }
     }
 
@@ -86,7 +86,7 @@
             mByRevision.remove(line.revision());
         }
         if (line.removed()) {
-            mRemoved--;
+            mRemovedCount--;
         }
     }
 
@@ -95,15 +95,15 @@
      *
      * <p>22,000 VMs are replaced on a day; were each remembered, state would grow without end.
      */
-    List<String> forgetOldRemovals() {
-        if (mRemoved <= MAX_REMOVED) {
+    List<String> evictOldRemovals() {
+        if (mRemovedCount <= MAX_REMOVED) {
             return List.of();
         }
         List<VmLine> oldest =
                 mByRevision.values().stream()
                         .flatMap(same -> same.values().stream())
                         .filter(VmLine::removed)
-                        .limit(mRemoved - MAX_REMOVED / 2L)
+                        .limit(mRemovedCount - MAX_REMOVED / 2L)
                         .toList();
         oldest.forEach(this::unlink);
         return oldest.stream().map(VmLine::id).toList();
--- a/src/main/java/org/apricotgauge/decision/gossip/LiveView.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/VmView.java
@@ -21,13 +21,13 @@
  * the list doesn't show yet is known from the moment its node is heard of. An unknown VM is not
  * leaving: the list may be absent.
  */
-public final class LiveView {
+public final class VmView {
     /** Knows no VM. */
-    public static final LiveView EMPTY = new LiveView(HashTreePMap.empty());
+    public static final VmView EMPTY = new VmView(HashTreePMap.empty());
 
     private final PMap<String, KnownVm> mVms;
 
-    private LiveView(PMap<String, KnownVm> vms) {
+    private VmView(PMap<String, KnownVm> vms) {
         mVms = vms;
     }
 
@@ -77,16 +77,16 @@
         return mVms.size();
     }
 
-    LiveView withLine(VmLine line) {
+    VmView withLine(VmLine line) {
         if (line.removed()) {
-            return change(line.id(), known -> known.withPlatformLeaving(true));
+            return update(line.id(), known -> known.withPlatformLeaving(true));
         }
         boolean leaving = line.status().state() == VmStatus.State.LEAVING;
         KnownVm known = mVms.getOrDefault(line.id(), KnownVm.of(line.status().vm()));
         return with(known.withVm(line.status().vm()).withPlatformLeaving(leaving));
     }
 
-    LiveView withAlive(Vm vm, long incarnation) {
+    VmView withAlive(Vm vm, long incarnation) {
         KnownVm known = mVms.getOrDefault(vm.id(), KnownVm.of(vm));
         if (incarnation < known.incarnation()) {
             return this;
@@ -94,28 +94,28 @@
         return with(known.withVm(vm).withIncarnation(incarnation).withUnreachable(false));
     }
 
-    LiveView withNotice(LeavingNotice notice) {
-        return change(
+    VmView withNotice(LeavingNotice notice) {
+        return update(
                 notice.vm(), known -> known.withNotice(notice.target(), notice.incarnation()));
     }
 
-    LiveView withUnreachable(String vm, boolean unreachable) {
-        return change(vm, known -> known.withUnreachable(unreachable));
+    VmView withUnreachable(String vm, boolean unreachable) {
+        return update(vm, known -> known.withUnreachable(unreachable));
     }
 
-    LiveView without(List<String> vms) {
-        return vms.isEmpty() ? this : new LiveView(mVms.minusAll(vms));
+    VmView without(List<String> vms) {
+        return vms.isEmpty() ? this : new VmView(mVms.minusAll(vms));
     }
 
-    private LiveView change(String id, UnaryOperator<KnownVm> change) {
+    private VmView update(String id, UnaryOperator<KnownVm> change) {
         KnownVm known = mVms.get(id);
         return known == null ? this : with(change.apply(known));
     }
 
-    private LiveView with(KnownVm known) {
+    private VmView with(KnownVm known) {
         if (known.equals(mVms.get(known.vm().id()))) {
             return this;
         }
-        return new LiveView(mVms.plus(known.vm().id(), known));
+        return new VmView(mVms.plus(known.vm().id(), known));
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/WatcherElection.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/WatcherElection.java
@@ -36,7 +36,7 @@
         /** Lost the platform and tries it now and then. */
         RETRY,
         /** Leaves the platform alone and hears from peers. */
-        REST
+        PASSIVE
     }
 
     private WatcherElection() {}
@@ -56,7 +56,7 @@
             Predicate<String> lostPlatform) {
         List<String> candidates = candidates(self, nodes, unreachable);
         if (!candidates.contains(self.id())) {
-            return Role.REST;
+            return Role.PASSIVE;
         }
         if (lostPlatform.test(self.id())) {
             return Role.RETRY;
@@ -70,7 +70,7 @@
                 before++;
             }
         }
-        return before < WATCHERS ? Role.WATCH : Role.REST;
+        return before < WATCHERS ? Role.WATCH : Role.PASSIVE;
     }
 
     private static List<String> candidates(
--- a/src/main/java/org/apricotgauge/directory/ViewAge.java
+++ b/src/main/java/org/apricotgauge/directory/ViewAge.java
@@ -1,6 +1,6 @@
 package org.apricotgauge.directory;
 
-import org.apricotgauge.decision.gossip.FreshnessGuard;
+import org.apricotgauge.decision.gossip.StalenessGate;
 import org.apricotgauge.time.ElapsedClock;
 
 /**
@@ -18,7 +18,7 @@
     private final DirectoryFeed.Parts mParts;
     private final ElapsedClock mElapsed;
     private final Confirmations mConfirmations;
-    private final FreshnessGuard mFreshness;
+    private final StalenessGate mFreshness;
     private volatile boolean mWasRead;
 
     ViewAge(DirectoryFeed.Parts parts, ElapsedClock elapsed) {
@@ -26,7 +26,7 @@
         mElapsed = elapsed;
         mConfirmations = new Confirmations(parts.times(), elapsed.millis());
         mFreshness =
-                new FreshnessGuard(
+                new StalenessGate(
                         PAUSE_MILLIS,
                         CONFIRM_MILLIS,
                         parts.ticker().millis(),
--- a/src/main/java/org/apricotgauge/node/FleetRecorder.java
+++ b/src/main/java/org/apricotgauge/node/FleetRecorder.java
@@ -5,7 +5,7 @@
 import org.apricotgauge.config.FoldResult;
 import org.apricotgauge.config.LogEntry;
 import org.apricotgauge.config.RefusalReason;
-import org.apricotgauge.decision.gossip.LiveView;
+import org.apricotgauge.decision.gossip.VmView;
 import org.apricotgauge.decision.gossip.WatcherElection;
 import org.apricotgauge.event.EventRecorder;
 import org.apricotgauge.event.PatchRefused;
@@ -19,14 +19,14 @@
 final class FleetRecorder {
     private final EventRecorder mEvents;
     private Set<String> mSuspected = Set.of();
-    private WatcherElection.Role mRole = WatcherElection.Role.REST;
+    private WatcherElection.Role mRole = WatcherElection.Role.PASSIVE;
 
     FleetRecorder(EventRecorder events) {
         mEvents = events;
     }
 
     /** Records which peers became suspected, and which were heard of again. */
-    synchronized void view(LiveView view) {
+    synchronized void view(VmView view) {
         Set<String> suspected = new HashSet<>();
         for (Vm vm : view.nodes()) {
             if (view.unreachable(vm.id())) {
--- a/src/main/java/org/apricotgauge/node/GossipControl.java
+++ b/src/main/java/org/apricotgauge/node/GossipControl.java
@@ -12,7 +12,7 @@
 import org.apricotgauge.control.ControlSettings;
 import org.apricotgauge.decision.gossip.GossipItem;
 import org.apricotgauge.decision.gossip.LeavingNotice;
-import org.apricotgauge.decision.gossip.LiveView;
+import org.apricotgauge.decision.gossip.VmView;
 import org.apricotgauge.event.HlcTimestamp;
 import org.apricotgauge.event.VmLeaving;
 import org.apricotgauge.model.Address;
@@ -134,7 +134,7 @@
         }
 
         @Override
-        public void onView(LiveView view) {
+        public void onView(VmView view) {
             mRecorder.view(view);
             mParts.listener().onMembers(SiteMembers.of(view, mParts.vm().id()));
         }
--- a/src/main/java/org/apricotgauge/node/RoutingState.java
+++ b/src/main/java/org/apricotgauge/node/RoutingState.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicReference;
 import org.apricotgauge.decision.detection.Verdicts;
-import org.apricotgauge.decision.gossip.LiveView;
+import org.apricotgauge.decision.gossip.VmView;
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.decision.routing.RoutingTable;
 import org.apricotgauge.decision.routing.RoutingTableFactory;
@@ -42,7 +42,7 @@
     private final Map<String, Verdicts> mVerdicts = new HashMap<>();
     private final Set<String> mSaidTheyLeave = ConcurrentHashMap.newKeySet();
     private final Deque<String> mSaidInOrder = new ArrayDeque<>();
-    private volatile SiteMembers mMembers = SiteMembers.of(LiveView.EMPTY, "");
+    private volatile SiteMembers mMembers = SiteMembers.of(VmView.EMPTY, "");
 
     RoutingState(String vm, String failureDomain, Ticker ticker) {
         mFactory = new RoutingTableFactory(vm, failureDomain);
--- a/src/main/java/org/apricotgauge/node/SiteMembers.java
+++ b/src/main/java/org/apricotgauge/node/SiteMembers.java
@@ -1,7 +1,7 @@
 package org.apricotgauge.node;
 
 import java.util.List;
-import org.apricotgauge.decision.gossip.LiveView;
+import org.apricotgauge.decision.gossip.VmView;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Target;
 import org.apricotgauge.model.Vm;
@@ -30,7 +30,7 @@
     record Peer(Address address, String failureDomain) {}
 
     /** Returns the members as the platform's list of VMs and the nodes' gossip tell them. */
-    static SiteMembers of(LiveView view, String ownVm) {
+    static SiteMembers of(VmView view, String ownVm) {
         return new SiteMembers() {
             @Override
             public Address guardOf(Target target) {
--- a/src/test/java/org/apricotgauge/decision/gossip/DisseminationProperties.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/DisseminationProperties.java
@@ -13,12 +13,13 @@
 
 /**
  * Fuzzes the dissemination against an oracle: a list, and the highest position that any node has.
- * Faults come in any order and together; the checks of every step stand in {@link SimulatedFleet}.
+ * Faults come in any order and together; the checks of every step stand in {@link
+ * SimulatedGossipFleet}.
  */
 class DisseminationProperties {
     private static final int NODES = 7;
     private static final int DOMAINS = 3;
-    private static final long QUIET_MILLIS = 60_000;
+    private static final long CONVERGENCE_MILLIS = 60_000;
 
     /** One thing that happens; {@code a} and {@code b} pick nodes. */
     record Step(Kind kind, int a, int b) {}
@@ -27,14 +28,14 @@
         PUBLISH,
         READ_PLATFORM,
         READ_STALE_PLATFORM,
-        CUT_ONE_WAY,
+        BLOCK_ONE_WAY,
         PARTITION,
         HEAL,
         RESTART,
-        VANISH_AND_RESTART,
+        CRASH_AND_RESTART,
         PAUSE,
-        SILENCE,
-        LOSE,
+        DROP_ON_LINKS,
+        LOSE_MESSAGES,
         WAIT
     }
 
@@ -49,9 +50,10 @@
     }
 
     @Property(seed = "5", tries = 150)
-    void everyNodeEndsAtTheHighestAndNoneGoesBack(
+    void allNodesConvergeToHighestPositionWithoutRegression(
             @ForAll("steps") List<Step> steps, @ForAll @LongRange(min = 1, max = 1_000) long seed) {
-        SimulatedFleet fleet = new SimulatedFleet(NODES, DOMAINS, GossipSettings.DEFAULT, seed);
+        SimulatedGossipFleet fleet =
+                new SimulatedGossipFleet(NODES, DOMAINS, GossipSettings.DEFAULT, seed);
         fleet.mReorder = seed % 2 == 0;
         fleet.mDuplicateShare = seed % 3 == 0 ? 0.2 : 0;
         fleet.run(3_000);
@@ -60,45 +62,45 @@
             fleet.run(200 + 37L * step.a());
         }
         fleet.heal();
-        fleet.mNodes.forEach(SimulatedFleet.Node::resume);
-        fleet.run(QUIET_MILLIS);
+        fleet.mNodes.forEach(SimulatedGossipFleet.Node::resume);
+        fleet.run(CONVERGENCE_MILLIS);
         assertThat(fleet.allAt(fleet.highestPosition())).as(fleet.toString()).isTrue();
         assertThat(fleet.count(GossipEvent.HISTORY_CONFLICT)).isZero();
     }
 
-    private static void apply(SimulatedFleet fleet, Step step) {
-        SimulatedFleet.Node a = fleet.mNodes.get(step.a());
-        SimulatedFleet.Node b = fleet.mNodes.get(step.b());
+    private static void apply(SimulatedGossipFleet fleet, Step step) {
+        SimulatedGossipFleet.Node a = fleet.mNodes.get(step.a());
+        SimulatedGossipFleet.Node b = fleet.mNodes.get(step.b());
         switch (step.kind()) {
             case PUBLISH -> fleet.publish("body " + fleet.mLog.size());
             case READ_PLATFORM -> a.readLog(fleet.mLog.size());
             case READ_STALE_PLATFORM -> a.readLog(fleet.mLog.size() / 2);
-            case CUT_ONE_WAY -> fleet.cut(a, b);
+            case BLOCK_ONE_WAY -> fleet.block(a, b);
             case PARTITION -> partition(fleet, step.a());
             case HEAL -> fleet.heal();
             case RESTART -> restart(a, false);
-            case VANISH_AND_RESTART -> restart(a, true);
+            case CRASH_AND_RESTART -> restart(a, true);
             case PAUSE -> {
                 a.pause();
                 fleet.run(4_000);
                 a.resume();
             }
-            case SILENCE -> fleet.silenceLinksOf(a);
-            case LOSE -> fleet.mLossShare = 0.1;
+            case DROP_ON_LINKS -> fleet.dropMessagesOnLinksOf(a);
+            case LOSE_MESSAGES -> fleet.mLossShare = 0.1;
             default -> fleet.run(5_000);
         }
     }
 
-    private static void restart(SimulatedFleet.Node node, boolean silently) {
-        node.kill(silently);
+    private static void restart(SimulatedGossipFleet.Node node, boolean silently) {
+        node.stop(silently);
         node.start();
     }
 
-    private static void partition(SimulatedFleet fleet, int border) {
-        for (SimulatedFleet.Node left : fleet.mNodes.subList(0, border)) {
-            for (SimulatedFleet.Node right : fleet.mNodes.subList(border, NODES)) {
-                fleet.cut(left, right);
-                fleet.cut(right, left);
+    private static void partition(SimulatedGossipFleet fleet, int border) {
+        for (SimulatedGossipFleet.Node left : fleet.mNodes.subList(0, border)) {
+            for (SimulatedGossipFleet.Node right : fleet.mNodes.subList(border, NODES)) {
+                fleet.block(left, right);
+                fleet.block(right, left);
             }
         }
     }
--- a/src/test/java/org/apricotgauge/decision/gossip/GossipNodeTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/GossipNodeTest.java
@@ -10,35 +10,36 @@
     private static final int NODES = 9;
     private static final int DOMAINS = 3;
 
-    private SimulatedFleet settled(GossipSettings settings) {
-        SimulatedFleet fleet = new SimulatedFleet(NODES, DOMAINS, settings, 11);
+    private SimulatedGossipFleet convergedFleet(GossipSettings settings) {
+        SimulatedGossipFleet fleet = new SimulatedGossipFleet(NODES, DOMAINS, settings, 11);
         fleet.run(5_000);
         return fleet;
     }
 
-    private SimulatedFleet settled() {
-        return settled(GossipSettings.DEFAULT);
+    private SimulatedGossipFleet convergedFleet() {
+        return convergedFleet(GossipSettings.DEFAULT);
     }
 
-    private static long publishTo(SimulatedFleet fleet, SimulatedFleet.Node reader) {
+    private static long publishTo(SimulatedGossipFleet fleet, SimulatedGossipFleet.Node reader) {
         long position = fleet.publish("body " + fleet.mLog.size());
         reader.readLog(position);
         return position;
     }
 
-    private static boolean heldUnreachable(SimulatedFleet fleet, SimulatedFleet.Node node) {
+    private static boolean isUnreachableForAny(
+            SimulatedGossipFleet fleet, SimulatedGossipFleet.Node node) {
         return fleet.mNodes.stream()
-                .filter(other -> other != node && other.up())
-                .anyMatch(other -> other.mMachine.view().unreachable(node.mVm.id()));
+                .filter(other -> other != node && other.isRunning())
+                .anyMatch(other -> other.mGossip.view().unreachable(node.mVm.id()));
     }
 
     @Test
-    void aStalePlatformPullsNobodyBack() {
+    void stalePlatformDoesNotRollBackNodes() {
         // Caller: a route that was changed hours ago comes back. A watcher reads version 5, the
         // platform then fails over to a copy that stands at 2, and a watcher that asks "what is
         // newest" would take 2 for the truth.
-        SimulatedFleet fleet = settled();
-        SimulatedFleet.Node watcher = fleet.mNodes.get(0);
+        SimulatedGossipFleet fleet = convergedFleet();
+        SimulatedGossipFleet.Node watcher = fleet.mNodes.get(0);
         for (int i = 0; i < 5; i++) {
             publishTo(fleet, watcher);
         }
@@ -50,57 +51,57 @@
     }
 
     @Test
-    void aRestartedNodeTakesTheHighestFromPeersWhileThePlatformIsStale() {
+    void restartedNodeCatchesUpFromPeersWhilePlatformIsStale() {
         // Caller: a node that was replaced serves an old version. It starts empty, the platform
         // answers with an older head, and only peers know the version in force. It has to stay
         // closed until it has what they have.
-        SimulatedFleet fleet = settled();
+        SimulatedGossipFleet fleet = convergedFleet();
         for (int i = 0; i < 5; i++) {
             publishTo(fleet, fleet.mNodes.get(0));
         }
         fleet.run(1_000);
-        SimulatedFleet.Node fresh = fleet.mNodes.get(4);
-        fresh.kill(true);
+        SimulatedGossipFleet.Node fresh = fleet.mNodes.get(4);
+        fresh.stop(true);
         fresh.start();
         fresh.readLog(2);
-        OpeningPolicy policy = new OpeningPolicy(10_000);
+        ReadinessPolicy policy = new ReadinessPolicy(10_000);
         long startMillis = fleet.mNowMillis;
-        while (!opens(policy, fresh, fleet.mNowMillis - startMillis)) {
+        while (!isReady(policy, fresh, fleet.mNowMillis - startMillis)) {
             fleet.run(100);
         }
-        assertThat(fresh.mMachine.position()).isEqualTo(5);
+        assertThat(fresh.mGossip.position()).isEqualTo(5);
         assertThat(fleet.mNowMillis - startMillis).isLessThan(3_000);
     }
 
-    private static boolean opens(
-            OpeningPolicy policy, SimulatedFleet.Node node, long waitedMillis) {
-        GossipNode<?> machine = node.mMachine;
+    private static boolean isReady(
+            ReadinessPolicy policy, SimulatedGossipFleet.Node node, long waitedMillis) {
+        GossipNode<?> machine = node.mGossip;
         return policy.decide(
-                        new OpeningPolicy.Observation(
+                        new ReadinessPolicy.Observation(
                                 machine.position(),
-                                machine.highestHeard(),
+                                machine.highestKnownPosition(),
                                 true,
                                 false,
                                 machine.vmRevision() > 0,
-                                machine.domainsHeard(),
-                                machine.domainsKnown(),
+                                machine.respondingDomains(),
+                                machine.knownDomains(),
                                 waitedMillis))
-                == OpeningPolicy.Decision.OPEN;
+                == ReadinessPolicy.Decision.READY;
     }
 
     @Test
-    void aOneWayPartitionMakesNobodyUnreachable() {
+    void oneWayPartitionMarksNoNodeUnreachable() {
         // Caller: a healthy VM gets no work any more. Frames from one node to another vanish while
         // the reverse path works; the second hears no heartbeat, dials in vain, and without asking
         // others it would tell the fleet that the first is dead.
-        SimulatedFleet fleet = settled();
-        SimulatedFleet.Node from = fleet.mNodes.get(1);
-        SimulatedFleet.Node to = fleet.mNodes.get(2);
-        fleet.cut(from, to);
+        SimulatedGossipFleet fleet = convergedFleet();
+        SimulatedGossipFleet.Node from = fleet.mNodes.get(1);
+        SimulatedGossipFleet.Node to = fleet.mNodes.get(2);
+        fleet.block(from, to);
         for (int i = 0; i < 30; i++) {
             fleet.run(1_000);
-            assertThat(heldUnreachable(fleet, from)).as("second %d", i).isFalse();
-            assertThat(heldUnreachable(fleet, to)).as("second %d", i).isFalse();
+            assertThat(isUnreachableForAny(fleet, from)).as("second %d", i).isFalse();
+            assertThat(isUnreachableForAny(fleet, to)).as("second %d", i).isFalse();
         }
         assertThat(fleet.count(GossipEvent.PATH_FAULT)).isPositive();
         assertThat(fleet.count(GossipEvent.SUSPICION_RAISED)).isZero();
@@ -110,73 +111,73 @@
     }
 
     @Test
-    void aSilentConnectionIsClosedAndDialledAnew() {
+    void unresponsiveConnectionIsClosedAndRedialled() {
         // Caller: one node keeps serving an old version. Something between the ends has lost track
         // of its connections; they look open, carry nothing, and TCP tells after a quarter of an
         // hour, while a new connection would work at once.
-        SimulatedFleet fleet = settled();
-        SimulatedFleet.Node mute = fleet.mNodes.get(3);
-        fleet.silenceLinksOf(mute);
+        SimulatedGossipFleet fleet = convergedFleet();
+        SimulatedGossipFleet.Node mute = fleet.mNodes.get(3);
+        fleet.dropMessagesOnLinksOf(mute);
         long position = publishTo(fleet, fleet.mNodes.get(0));
         fleet.run(8_000);
         assertThat(fleet.allAt(position)).isTrue();
         assertThat(mute.count(GossipEvent.LINK_SILENT)).isPositive();
-        assertThat(heldUnreachable(fleet, mute)).isFalse();
+        assertThat(isUnreachableForAny(fleet, mute)).isFalse();
     }
 
     @Test
-    void aDeadNodeIsUnreachableForAllAndComesBack() {
+    void crashedNodeIsUnreachableUntilRestart() {
         // Caller: nothing, if the fleet knows. A VM vanishes without a word; its peers must agree
         // within seconds, and take it in again once it has restarted.
-        SimulatedFleet fleet = settled();
-        SimulatedFleet.Node dead = fleet.mNodes.get(5);
-        dead.kill(true);
+        SimulatedGossipFleet fleet = convergedFleet();
+        SimulatedGossipFleet.Node dead = fleet.mNodes.get(5);
+        dead.stop(true);
         fleet.run(20_000);
-        for (SimulatedFleet.Node other : fleet.mNodes) {
+        for (SimulatedGossipFleet.Node other : fleet.mNodes) {
             if (other != dead) {
-                assertThat(other.mMachine.view().unreachable(dead.mVm.id())).isTrue();
+                assertThat(other.mGossip.view().unreachable(dead.mVm.id())).isTrue();
             }
         }
         dead.start();
         fleet.run(3_000);
-        assertThat(heldUnreachable(fleet, dead)).isFalse();
+        assertThat(isUnreachableForAny(fleet, dead)).isFalse();
     }
 
     @Test
-    void theSidesOfAPartitionFindEachOtherAfterIt() {
+    void partitionedSidesReconnectAfterHealing() {
         // Caller: callers of one side see changes that those of the other never get. During a long
         // partition each side drops the other; afterwards nobody would dial across.
-        SimulatedFleet fleet = settled();
-        List<SimulatedFleet.Node> left = fleet.mNodes.subList(0, 4);
-        List<SimulatedFleet.Node> right = fleet.mNodes.subList(4, NODES);
-        for (SimulatedFleet.Node a : left) {
-            for (SimulatedFleet.Node b : right) {
-                fleet.cut(a, b);
-                fleet.cut(b, a);
+        SimulatedGossipFleet fleet = convergedFleet();
+        List<SimulatedGossipFleet.Node> left = fleet.mNodes.subList(0, 4);
+        List<SimulatedGossipFleet.Node> right = fleet.mNodes.subList(4, NODES);
+        for (SimulatedGossipFleet.Node a : left) {
+            for (SimulatedGossipFleet.Node b : right) {
+                fleet.block(a, b);
+                fleet.block(b, a);
             }
         }
         fleet.run(120_000);
         long position = publishTo(fleet, left.get(0));
         fleet.run(5_000);
-        assertThat(right.get(0).mMachine.position()).isZero();
+        assertThat(right.get(0).mGossip.position()).isZero();
         fleet.heal();
         fleet.run(20_000);
         assertThat(fleet.allAt(position)).isTrue();
     }
 
     @Test
-    void aPausedProcessAsksBeforeItActs() {
+    void resumedProcessConfirmsStateBeforeActing() {
         // Caller: a request goes to a target that left while the process slept. It wakes, its
         // clock has moved on, and a request is read before any peer was heard.
-        SimulatedFleet fleet = settled();
-        SimulatedFleet.Node sleeper = fleet.mNodes.get(2);
-        SimulatedFleet.Node leaver = fleet.mNodes.get(7);
+        SimulatedGossipFleet fleet = convergedFleet();
+        SimulatedGossipFleet.Node sleeper = fleet.mNodes.get(2);
+        SimulatedGossipFleet.Node leaver = fleet.mNodes.get(7);
         sleeper.pause();
         fleet.run(10_000);
-        leaver.mMachine.announceLeaving(LeavingNotice.WHOLE_VM, fleet.mNowMillis);
+        leaver.mGossip.announceLeaving(LeavingNotice.WHOLE_VM, fleet.mNowMillis);
         long position = publishTo(fleet, fleet.mNodes.get(0));
         fleet.run(10_000);
-        FreshnessGuard guard = sleeper.mMachine.freshness();
+        StalenessGate guard = sleeper.mGossip.stalenessGate();
         assertThat(guard.mayAct(fleet.mNowMillis)).isFalse();
         sleeper.resume();
         long wokeMillis = fleet.mNowMillis;
@@ -184,46 +185,46 @@
             fleet.run(10);
         }
         assertThat(fleet.mNowMillis - wokeMillis).isLessThan(5_000);
-        assertThat(sleeper.mMachine.position()).isEqualTo(position);
-        assertThat(sleeper.mMachine.view().leaving(leaver.mVm.id())).isTrue();
+        assertThat(sleeper.mGossip.position()).isEqualTo(position);
+        assertThat(sleeper.mGossip.view().leaving(leaver.mVm.id())).isTrue();
     }
 
     @Test
-    void aProcessThatWakesCutOffGoesOnAfterAWhile() {
+    void isolatedResumedProcessProceedsAfterTimeout() {
         // Caller: a whole side of a partition refuses work. A process wakes alone; if it waited for
         // ever to be confirmed, its callers would have nobody.
-        SimulatedFleet fleet = settled();
-        SimulatedFleet.Node sleeper = fleet.mNodes.get(2);
+        SimulatedGossipFleet fleet = convergedFleet();
+        SimulatedGossipFleet.Node sleeper = fleet.mNodes.get(2);
         sleeper.pause();
         fleet.run(10_000);
-        for (SimulatedFleet.Node other : fleet.mNodes) {
-            fleet.cut(other, sleeper);
+        for (SimulatedGossipFleet.Node other : fleet.mNodes) {
+            fleet.block(other, sleeper);
         }
         sleeper.resume();
         fleet.run(200);
-        assertThat(sleeper.mMachine.freshness().mayAct(fleet.mNowMillis)).isFalse();
+        assertThat(sleeper.mGossip.stalenessGate().mayAct(fleet.mNowMillis)).isFalse();
         fleet.run(6_000);
-        assertThat(sleeper.mMachine.freshness().mayAct(fleet.mNowMillis)).isTrue();
+        assertThat(sleeper.mGossip.stalenessGate().mayAct(fleet.mNowMillis)).isTrue();
     }
 
     @Test
-    void aLeavingNoticeReachesAllAtOnceAndEndsWithTheRun() {
+    void leavingNoticeReachesAllNodesAndEndsWithIncarnation() {
         // Caller: nothing, if told in time. The platform's list lags; the node's own word must be
         // with all peers at once, and must not outlive the run that gave it.
-        SimulatedFleet fleet = settled();
-        SimulatedFleet.Node leaver = fleet.mNodes.get(6);
-        leaver.mMachine.announceLeaving(LeavingNotice.WHOLE_VM, fleet.mNowMillis);
-        leaver.mMachine.announceLeaving("target-1", fleet.mNowMillis);
+        SimulatedGossipFleet fleet = convergedFleet();
+        SimulatedGossipFleet.Node leaver = fleet.mNodes.get(6);
+        leaver.mGossip.announceLeaving(LeavingNotice.WHOLE_VM, fleet.mNowMillis);
+        leaver.mGossip.announceLeaving("target-1", fleet.mNowMillis);
         fleet.run(500);
-        for (SimulatedFleet.Node other : fleet.mNodes) {
-            assertThat(other.mMachine.view().leaving(leaver.mVm.id())).isTrue();
-            assertThat(other.mMachine.view().leaving(leaver.mVm.id(), "target-1")).isTrue();
+        for (SimulatedGossipFleet.Node other : fleet.mNodes) {
+            assertThat(other.mGossip.view().leaving(leaver.mVm.id())).isTrue();
+            assertThat(other.mGossip.view().leaving(leaver.mVm.id(), "target-1")).isTrue();
         }
-        leaver.kill(false);
+        leaver.stop(false);
         leaver.start();
         fleet.run(5_000);
-        for (SimulatedFleet.Node other : fleet.mNodes) {
-            assertThat(other.mMachine.view().leaving(leaver.mVm.id())).isFalse();
+        for (SimulatedGossipFleet.Node other : fleet.mNodes) {
+            assertThat(other.mGossip.view().leaving(leaver.mVm.id())).isFalse();
         }
     }
 }
--- a/src/test/java/org/apricotgauge/decision/gossip/ItemStoreTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/ItemStoreTest.java
@@ -29,7 +29,7 @@
     }
 
     @Property(seed = "3", tries = 200)
-    void storesAgreeWhateverTheOrder(@ForAll("items") List<GossipItem> items) {
+    void hashIsIndependentOfOrder(@ForAll("items") List<GossipItem> items) {
         ItemStore forward = new ItemStore();
         ItemStore backward = new ItemStore();
         for (int i = 0; i < items.size(); i++) {
@@ -44,13 +44,13 @@
     }
 
     @Test
-    void boundsTheEvidenceOfOneNode() {
+    void limitsEvidencePerNode() {
         ItemStore store = new ItemStore();
-        for (int i = 0; i < 2 * ItemStore.MAX_EVIDENCE_ITEMS_OF_A_NODE; i++) {
+        for (int i = 0; i < 2 * ItemStore.MAX_EVIDENCE_ITEMS_PER_NODE; i++) {
             store.offer(item(GossipItem.Kind.EVIDENCE, "a", "key" + i, 1), 0);
         }
-        assertThat(store.size()).isEqualTo(ItemStore.MAX_EVIDENCE_ITEMS_OF_A_NODE);
+        assertThat(store.size()).isEqualTo(ItemStore.MAX_EVIDENCE_ITEMS_PER_NODE);
         assertThat(store.offer(item(GossipItem.Kind.EVIDENCE, "b", "key", 1), 0))
-                .isEqualTo(ItemStore.Verdict.NEWS);
+                .isEqualTo(ItemStore.OfferResult.ACCEPTED);
     }
 }
--- a/src/test/java/org/apricotgauge/decision/gossip/NeighboursTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/NeighboursTest.java
@@ -25,8 +25,9 @@
     private final Neighbours mNeighbours =
             new Neighbours(
                     mContext,
-                    () -> LiveView.EMPTY,
-                    new Liveness(mContext, null, new LocalHealth(), (vm, nowMillis) -> {}),
+                    () -> VmView.EMPTY,
+                    new PeerFailureDetector(
+                            mContext, null, new LocalHealthMultiplier(), (vm, nowMillis) -> {}),
                     List.of(SEED),
                     (vm, address, nowMillis) -> mDialled.add(address));
 
@@ -39,19 +40,19 @@
     }
 
     @Test
-    void aNodeWithOneLinkLooksForMore() {
+    void nodeWithOneLinkKeepsDialling() {
         // Caller: two nodes of a thousand serve an old version until the platform is back. All
         // start at once and the seeds are full for a while; two find each other and nobody else.
         // Were one link enough, they would look no further and stay an island.
         linkFrom(vm("other", "10.0.0.2"));
-        mNeighbours.fill(NOW_MILLIS);
+        mNeighbours.dialMissing(NOW_MILLIS);
         assertThat(mDialled).containsExactly(SEED);
     }
 
     @Test
-    void aSeedThatIsLinkedIsNotDialledAgain() {
+    void linkedSeedIsNotDialledAgain() {
         linkFrom(vm("seed", SEED.host()));
-        mNeighbours.fill(NOW_MILLIS);
+        mNeighbours.dialMissing(NOW_MILLIS);
         assertThat(mDialled).isEmpty();
     }
 }
--- a/src/test/java/org/apricotgauge/decision/gossip/OpeningPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/ReadinessPolicyTest.java
@@ -4,41 +4,41 @@
 
 import org.junit.jupiter.api.Test;
 
-class OpeningPolicyTest {
-    private static final OpeningPolicy POLICY = new OpeningPolicy(10_000);
+class ReadinessPolicyTest {
+    private static final ReadinessPolicy POLICY = new ReadinessPolicy(10_000);
 
-    private static OpeningPolicy.Decision decide(
+    private static ReadinessPolicy.Decision decide(
             long position, long heard, boolean platform, boolean failed, int domains, long waited) {
         return POLICY.decide(
-                new OpeningPolicy.Observation(
+                new ReadinessPolicy.Observation(
                         position, heard, platform, failed, true, domains, 5, waited));
     }
 
     @Test
-    void waitsForSeveralFailureDomainsAndForTheHighest() {
+    void waitsForSeveralFailureDomainsAndHighestPosition() {
         assertThat(decide(4, 4, true, false, 2, 1_000))
-                .isEqualTo(OpeningPolicy.Decision.WAIT_FOR_ANSWERS);
+                .isEqualTo(ReadinessPolicy.Decision.WAIT_FOR_RESPONSES);
         assertThat(decide(4, 5, true, false, 3, 1_000))
-                .isEqualTo(OpeningPolicy.Decision.WAIT_FOR_RECORDS);
-        assertThat(decide(5, 5, true, false, 3, 1_000)).isEqualTo(OpeningPolicy.Decision.OPEN);
-        assertThat(decide(5, 5, false, true, 3, 1_000)).isEqualTo(OpeningPolicy.Decision.OPEN);
+                .isEqualTo(ReadinessPolicy.Decision.CATCHING_UP);
+        assertThat(decide(5, 5, true, false, 3, 1_000)).isEqualTo(ReadinessPolicy.Decision.READY);
+        assertThat(decide(5, 5, false, true, 3, 1_000)).isEqualTo(ReadinessPolicy.Decision.READY);
     }
 
     @Test
-    void doesNotTakeAnUnknownListOfVmsForAnEmptyOne() {
+    void waitsWhileVmListIsUnknown() {
         // Caller: a fresh node serves an old version. Only the platform, which is stale, has
         // answered yet; no VM is known, so no peer is missed.
-        OpeningPolicy.Observation early =
-                new OpeningPolicy.Observation(2, 2, true, false, false, 0, 0, 100);
-        assertThat(POLICY.decide(early)).isEqualTo(OpeningPolicy.Decision.WAIT_FOR_ANSWERS);
+        ReadinessPolicy.Observation early =
+                new ReadinessPolicy.Observation(2, 2, true, false, false, 0, 0, 100);
+        assertThat(POLICY.decide(early)).isEqualTo(ReadinessPolicy.Decision.WAIT_FOR_RESPONSES);
     }
 
     @Test
-    void opensOnPartOfTheAnswersAfterItsPatienceButNeverOnNone() {
-        assertThat(decide(4, 4, true, false, 1, 10_000)).isEqualTo(OpeningPolicy.Decision.OPEN);
+    void becomesReadyOnPartialResponsesAfterTimeoutButNeverOnNone() {
+        assertThat(decide(4, 4, true, false, 1, 10_000)).isEqualTo(ReadinessPolicy.Decision.READY);
         assertThat(decide(0, 0, false, true, 0, 3_600_000))
-                .isEqualTo(OpeningPolicy.Decision.WAIT_ALONE);
+                .isEqualTo(ReadinessPolicy.Decision.NO_RESPONSE);
         assertThat(decide(4, 9, true, false, 1, 3_600_000))
-                .isEqualTo(OpeningPolicy.Decision.WAIT_FOR_RECORDS);
+                .isEqualTo(ReadinessPolicy.Decision.CATCHING_UP);
     }
 }
--- a/src/test/java/org/apricotgauge/decision/gossip/ReplicaTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/ReplicaTest.java
@@ -18,42 +18,43 @@
     }
 
     @Test
-    void refusesAnotherBodyAtAPositionItHas() {
+    void rejectsDifferentBodyAtKnownPosition() {
         // Caller: two nodes answer differently at "the same" version. A platform that flaps between
         // two copies showed another body at position 2 than the one in force here.
         Replica<ChainFold.Chain> replica = of("a", "b");
         assertThat(replica.offer(new LogRecord(2, "other"), null))
-                .isEqualTo(Replica.Verdict.CONFLICT);
-        assertThat(replica.offer(new LogRecord(2, "b"), null)).isEqualTo(Replica.Verdict.KNOWN);
+                .isEqualTo(Replica.ApplyResult.CONFLICT);
+        assertThat(replica.offer(new LogRecord(2, "b"), null)).isEqualTo(Replica.ApplyResult.KNOWN);
         assertThat(replica.relation(2, of("a", "other").digest()))
                 .isEqualTo(Replica.Relation.CONFLICT);
     }
 
     @Test
-    void refusesTheNextRecordOfAnotherHistory() {
+    void rejectsNextRecordOfDivergentHistory() {
         // Caller: as above, one step later. A peer whose history differs at position 1 sends the
         // record at 2; folded here it would make a third history that nobody else has.
         Replica<ChainFold.Chain> ours = of("a");
         Replica<ChainFold.Chain> theirs = of("other", "b");
         assertThat(ours.offer(new LogRecord(2, "b"), theirs.digest()))
-                .isEqualTo(Replica.Verdict.CONFLICT);
+                .isEqualTo(Replica.ApplyResult.CONFLICT);
         assertThat(ours.history()).isEqualTo(of("a").history());
     }
 
     @Test
-    void refusesASnapshotThatIsOldOrDoesNotMatchItsDigest() {
+    void rejectsSnapshotThatIsOldOrMismatchesDigest() {
         Replica<ChainFold.Chain> replica = of("a", "b");
         Replica<ChainFold.Chain> later = of("a", "b", "c");
-        assertThat(replica.adopt(of("a").history(), of("a").digest()))
-                .isEqualTo(Replica.Verdict.KNOWN);
-        assertThat(replica.adopt(later.history(), "forged")).isEqualTo(Replica.Verdict.CONFLICT);
-        assertThat(replica.adopt(later.history(), later.digest()))
-                .isEqualTo(Replica.Verdict.APPLIED);
+        assertThat(replica.adoptSnapshot(of("a").history(), of("a").digest()))
+                .isEqualTo(Replica.ApplyResult.KNOWN);
+        assertThat(replica.adoptSnapshot(later.history(), "forged"))
+                .isEqualTo(Replica.ApplyResult.CONFLICT);
+        assertThat(replica.adoptSnapshot(later.history(), later.digest()))
+                .isEqualTo(Replica.ApplyResult.APPLIED);
         assertThat(replica.position()).isEqualTo(3);
     }
 
     @Test
-    void keepsABoundedNumberOfRecordsForOthers() {
+    void retainsBoundedNumberOfRecords() {
         Replica<ChainFold.Chain> replica = new Replica<>(FOLD);
         int total = 3 * Replica.MAX_RETAINED;
         for (int i = 1; i <= total; i++) {
--- a/src/test/java/org/apricotgauge/decision/gossip/SimulatedFleet.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/SimulatedGossipFleet.java
@@ -25,76 +25,76 @@
  * <p>The oracle is the list of published bodies: after every event each node's digest must be that
  * of the list up to its position, and no run of a node may move back.
  */
-final class SimulatedFleet {
+final class SimulatedGossipFleet {
     private static final long TICK_MILLIS = 100;
     private static final int FIRST_PORT = 1_000;
     private static final ChainFold FOLD = new ChainFold();
 
-    private record Event(long atMillis, long order, Runnable body) {}
+    private record Event(long atMillis, long order, Runnable action) {}
 
     /** One connection; either end may be gone. */
-    private static final class Wire {
+    private static final class Connection {
         final Node mDialler;
-        final long mDialled;
+        final long mDiallerLink;
         Node mAcceptor;
-        long mAccepted;
-        boolean mSilent;
+        long mAcceptorLink;
+        boolean mDropsMessages;
 
-        Wire(Node dialler, long dialled) {
+        Connection(Node dialler, long dialled) {
             mDialler = dialler;
-            mDialled = dialled;
+            mDiallerLink = dialled;
         }
     }
 
     /** One node over all its runs. */
-    final class Node implements PeerPort<ChainFold.Chain>, GossipListener<ChainFold.Chain> {
+    final class Node implements PeerTransport<ChainFold.Chain>, GossipListener<ChainFold.Chain> {
         final Vm mVm;
         final Map<GossipEvent, Integer> mEvents = new EnumMap<>(GossipEvent.class);
         final List<LeavingNotice> mNotices = new ArrayList<>();
-        final Map<Long, Wire> mWires = new HashMap<>();
-        GossipNode<ChainFold.Chain> mMachine;
+        final Map<Long, Connection> mConnections = new HashMap<>();
+        GossipNode<ChainFold.Chain> mGossip;
         boolean mPaused;
-        private final List<Runnable> mHeldBack = new ArrayList<>();
-        private long mRun;
+        private final List<Runnable> mDeferred = new ArrayList<>();
+        private long mIncarnation;
         private long mNextAccepted = -1;
-        private long mHighest;
+        private long mHighestPosition;
 
         Node(Vm vm) {
             mVm = vm;
         }
 
         void start() {
-            mRun++;
-            mHighest = 0;
+            mIncarnation++;
+            mHighestPosition = 0;
             List<Address> seeds =
                     List.of(
                             new Address("10.0.0.1", FIRST_PORT),
                             new Address("10.0.0.1", FIRST_PORT + 1));
-            mMachine =
+            mGossip =
                     new GossipNode<>(
-                            new NodeIdentity("site", mVm, mRun, seeds),
+                            new NodeIdentity("site", mVm, mIncarnation, seeds),
                             mSettings,
                             FOLD,
                             this,
                             this,
                             mRandom.nextLong(),
                             mNowMillis);
-            tickLater(mRun);
+            scheduleTick(mIncarnation);
         }
 
         /** Ends the run; with {@code silently} the peers' ends of its links don't hear of it. */
-        void kill(boolean silently) {
-            mRun++;
-            mMachine = null;
-            mHeldBack.clear();
-            for (Wire wire : List.copyOf(mWires.values())) {
+        void stop(boolean silently) {
+            mIncarnation++;
+            mGossip = null;
+            mDeferred.clear();
+            for (Connection wire : List.copyOf(mConnections.values())) {
                 if (silently) {
-                    wire.mSilent = true;
+                    wire.mDropsMessages = true;
                 } else {
-                    hangUp(wire, this);
+                    closeOtherEnd(wire, this);
                 }
             }
-            mWires.clear();
+            mConnections.clear();
         }
 
         void pause() {
@@ -103,26 +103,26 @@
 
         void resume() {
             mPaused = false;
-            List.copyOf(mHeldBack).forEach(Runnable::run);
-            mHeldBack.clear();
+            List.copyOf(mDeferred).forEach(Runnable::run);
+            mDeferred.clear();
         }
 
         int count(GossipEvent event) {
             return mEvents.getOrDefault(event, 0);
         }
 
-        boolean up() {
-            return mMachine != null;
+        boolean isRunning() {
+            return mGossip != null;
         }
 
         /** Reads the platform as a watcher would. */
         boolean readLog(long visibleHead) {
-            long from = mMachine.position() + 1;
+            long from = mGossip.position() + 1;
             List<LogRecord> page = new ArrayList<>();
             for (long p = from; p <= visibleHead; p++) {
                 page.add(new LogRecord(p, mLog.get((int) (p - 1))));
             }
-            boolean fresh = mMachine.onPublished(new LogPage(visibleHead, page));
+            boolean fresh = mGossip.onPublished(new LogPage(visibleHead, page));
             check();
             return fresh;
         }
@@ -130,48 +130,48 @@
         void readVms() {
             List<VmStatus> vms = new ArrayList<>();
             mNodes.forEach(node -> vms.add(new VmStatus(node.mVm, VmStatus.State.LIVE)));
-            mMachine.onPublishedVms(0, new VmPage(1, vms, List.of(), false), mNowMillis);
+            mGossip.onPublishedVms(0, new VmPage(1, vms, List.of(), false), mNowMillis);
         }
 
         @Override
         public void dial(long link, Address address) {
-            Wire wire = new Wire(this, link);
-            mWires.put(link, wire);
+            Connection wire = new Connection(this, link);
+            mConnections.put(link, wire);
             Node target = mByPort.get(address.port());
-            after(delay(), () -> arrive(wire, target));
+            schedule(delay(), () -> connect(wire, target));
         }
 
         @Override
         public void send(long link, PeerMessage message) {
-            Wire wire = mWires.get(link);
+            Connection wire = mConnections.get(link);
             if (wire == null || wire.mAcceptor == null) {
                 return;
             }
             Node to = wire.mDialler == this ? wire.mAcceptor : wire.mDialler;
-            int copies = lost(message) ? 0 : duplicated(message) ? 2 : 1;
+            int copies = isLost(message) ? 0 : isDuplicated(message) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                long delayMillis = mReorder && !greeting(message) ? delay() : 1;
-                after(delayMillis, () -> deliver(wire, this, to, message));
+                long delayMillis = mReorder && !isHandshake(message) ? delay() : 1;
+                schedule(delayMillis, () -> deliver(wire, this, to, message));
             }
         }
 
         @Override
         public void close(long link) {
-            Wire wire = mWires.remove(link);
+            Connection wire = mConnections.remove(link);
             if (wire != null) {
-                hangUp(wire, this);
+                closeOtherEnd(wire, this);
             }
         }
 
         @Override
-        public void encode(ChainFold.Chain history) {
+        public void encodeSnapshot(ChainFold.Chain history) {
             List<byte[]> chunks = FOLD.encode(history);
-            run(this, () -> mMachine.onEncoded(chunks, mNowMillis));
+            run(this, () -> mGossip.onSnapshotEncoded(chunks, mNowMillis));
         }
 
         @Override
-        public void decode(List<byte[]> chunks) {
-            run(this, () -> mMachine.onDecoded(FOLD.decode(chunks)));
+        public void decodeSnapshot(List<byte[]> chunks) {
+            run(this, () -> mGossip.onSnapshotDecoded(FOLD.decode(chunks)));
         }
 
         @Override
@@ -180,7 +180,7 @@
         }
 
         @Override
-        public void onView(LiveView view) {}
+        public void onView(VmView view) {}
 
         @Override
         public void onLeaving(LeavingNotice notice) {
@@ -196,26 +196,26 @@
         }
 
         private void check() {
-            ChainFold.Chain history = mMachine.history();
-            if (history.position() < mHighest) {
+            ChainFold.Chain history = mGossip.history();
+            if (history.position() < mHighestPosition) {
                 throw new AssertionError(mVm.id() + " fell back to " + history);
             }
             if (!history.equals(mOracle.get((int) history.position()))) {
                 throw new AssertionError(mVm.id() + " differs from the list at " + history);
             }
-            mHighest = history.position();
+            mHighestPosition = history.position();
         }
 
-        private void tickLater(long run) {
-            after(
+        private void scheduleTick(long run) {
+            schedule(
                     TICK_MILLIS,
                     () -> {
-                        if (run == mRun) {
+                        if (run == mIncarnation) {
                             if (!mPaused) {
-                                mMachine.tick(mNowMillis);
+                                mGossip.tick(mNowMillis);
                                 check();
                             }
-                            tickLater(run);
+                            scheduleTick(run);
                         }
                     });
         }
@@ -225,7 +225,7 @@
     final List<String> mLog = new ArrayList<>();
     private final List<ChainFold.Chain> mOracle = new ArrayList<>();
     private final Map<Integer, Node> mByPort = new HashMap<>();
-    private final Set<String> mCuts = new HashSet<>();
+    private final Set<String> mBlockedPaths = new HashSet<>();
     private final PriorityQueue<Event> mEvents =
             new PriorityQueue<>(
                     Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::order));
@@ -237,7 +237,7 @@
     boolean mReorder;
     private long mOrder;
 
-    SimulatedFleet(int size, int domains, GossipSettings settings, long seed) {
+    SimulatedGossipFleet(int size, int domains, GossipSettings settings, long seed) {
         mRandom = new SplittableRandom(seed);
         mSettings = settings;
         mOracle.add(FOLD.empty());
@@ -261,32 +261,32 @@
     }
 
     /** Lets frames of one way vanish. */
-    void cut(Node from, Node to) {
-        mCuts.add(from.mVm.id() + '>' + to.mVm.id());
+    void block(Node from, Node to) {
+        mBlockedPaths.add(from.mVm.id() + '>' + to.mVm.id());
     }
 
     void heal() {
-        mCuts.clear();
+        mBlockedPaths.clear();
         mLossShare = 0;
     }
 
     /** Makes all present links of a node silent for good, while new ones work. */
-    void silenceLinksOf(Node node) {
-        node.mWires.values().forEach(wire -> wire.mSilent = true);
+    void dropMessagesOnLinksOf(Node node) {
+        node.mConnections.values().forEach(wire -> wire.mDropsMessages = true);
     }
 
     long highestPosition() {
         return mNodes.stream()
-                .filter(Node::up)
-                .mapToLong(node -> node.mMachine.position())
+                .filter(Node::isRunning)
+                .mapToLong(node -> node.mGossip.position())
                 .max()
                 .orElse(0);
     }
 
     boolean allAt(long position) {
         return mNodes.stream()
-                .filter(Node::up)
-                .allMatch(node -> node.mMachine.position() == position);
+                .filter(Node::isRunning)
+                .allMatch(node -> node.mGossip.position() == position);
     }
 
     int count(GossipEvent event) {
@@ -298,7 +298,7 @@
         while (!mEvents.isEmpty() && mEvents.peek().atMillis() <= endMillis) {
             Event event = mEvents.poll();
             mNowMillis = event.atMillis();
-            event.body().run();
+            event.action().run();
         }
         mNowMillis = endMillis;
     }
@@ -308,76 +308,77 @@
         StringBuilder text = new StringBuilder();
         for (Node node : mNodes) {
             text.append(node.mVm.id()).append(" position ");
-            text.append(node.up() ? node.mMachine.position() : -1);
-            text.append(" links ").append(node.up() ? node.mMachine.links() : -1);
+            text.append(node.isRunning() ? node.mGossip.position() : -1);
+            text.append(" links ").append(node.isRunning() ? node.mGossip.establishedLinks() : -1);
             text.append(' ').append(node.mEvents).append(System.lineSeparator());
         }
         return text.toString();
     }
 
-    private void arrive(Wire wire, Node target) {
-        boolean reached = target != null && target.up() && !cutBetween(wire.mDialler, target);
+    private void connect(Connection wire, Node target) {
+        boolean reached =
+                target != null && target.isRunning() && !isBlockedBetween(wire.mDialler, target);
         if (!reached) {
-            if (target == null || !target.up()) {
-                end(wire, wire.mDialler, wire.mDialled);
+            if (target == null || !target.isRunning()) {
+                disconnect(wire, wire.mDialler, wire.mDiallerLink);
             }
             return;
         }
         wire.mAcceptor = target;
-        wire.mAccepted = target.mNextAccepted--;
-        target.mWires.put(wire.mAccepted, wire);
-        run(target, () -> target.mMachine.onAccepted(wire.mAccepted, mNowMillis));
+        wire.mAcceptorLink = target.mNextAccepted--;
+        target.mConnections.put(wire.mAcceptorLink, wire);
+        run(target, () -> target.mGossip.onAccepted(wire.mAcceptorLink, mNowMillis));
         Node dialler = wire.mDialler;
-        after(
+        schedule(
                 1,
                 () -> {
-                    if (dialler.mWires.get(wire.mDialled) == wire) {
-                        run(dialler, () -> dialler.mMachine.onConnected(wire.mDialled));
+                    if (dialler.mConnections.get(wire.mDiallerLink) == wire) {
+                        run(dialler, () -> dialler.mGossip.onConnected(wire.mDiallerLink));
                     }
                 });
     }
 
-    private void deliver(Wire wire, Node from, Node to, PeerMessage message) {
-        long link = to == wire.mDialler ? wire.mDialled : wire.mAccepted;
-        boolean cut = mCuts.contains(from.mVm.id() + '>' + to.mVm.id());
-        if (!cut && !wire.mSilent && to.mWires.get(link) == wire) {
-            run(to, () -> to.mMachine.onMessage(link, message, mNowMillis));
+    private void deliver(Connection wire, Node from, Node to, PeerMessage message) {
+        long link = to == wire.mDialler ? wire.mDiallerLink : wire.mAcceptorLink;
+        boolean cut = mBlockedPaths.contains(from.mVm.id() + '>' + to.mVm.id());
+        if (!cut && !wire.mDropsMessages && to.mConnections.get(link) == wire) {
+            run(to, () -> to.mGossip.onMessage(link, message, mNowMillis));
         }
     }
 
-    private void hangUp(Wire wire, Node by) {
-        if (wire.mAcceptor == null || wire.mSilent) {
+    private void closeOtherEnd(Connection wire, Node by) {
+        if (wire.mAcceptor == null || wire.mDropsMessages) {
             return;
         }
         Node other = by == wire.mDialler ? wire.mAcceptor : wire.mDialler;
-        long link = other == wire.mDialler ? wire.mDialled : wire.mAccepted;
-        after(1, () -> end(wire, other, link));
+        long link = other == wire.mDialler ? wire.mDiallerLink : wire.mAcceptorLink;
+        schedule(1, () -> disconnect(wire, other, link));
     }
 
-    private void end(Wire wire, Node node, long link) {
-        if (node.mWires.remove(link, wire)) {
-            run(node, () -> node.mMachine.onClosed(link, mNowMillis));
+    private void disconnect(Connection wire, Node node, long link) {
+        if (node.mConnections.remove(link, wire)) {
+            run(node, () -> node.mGossip.onClosed(link, mNowMillis));
         }
     }
 
     /** Runs what reaches a node, unless it is down; a paused one gets it when it wakes. */
     private static void run(Node node, Runnable body) {
-        if (!node.up()) {
+        if (!node.isRunning()) {
             return;
         }
         if (node.mPaused) {
-            node.mHeldBack.add(() -> run(node, body));
+            node.mDeferred.add(() -> run(node, body));
         } else {
             body.run();
         }
     }
 
-    private boolean cutBetween(Node one, Node other) {
-        return mCuts.contains(one.mVm.id() + '>' + other.mVm.id())
-                || mCuts.contains(other.mVm.id() + '>' + one.mVm.id());
+    private boolean isBlockedBetween(Node one, Node other) {
+        return mBlockedPaths.contains(one.mVm.id() + '>' + other.mVm.id())
+                || mBlockedPaths.contains(other.mVm.id() + '>' + one.mVm.id());
     }
 
-    private void after(long millis, Runnable body) {
+    private void schedule(long millis, Runnable body) {
         mEvents.add(new Event(mNowMillis + millis, mOrder++, body));
     }
 
@@ -385,15 +386,15 @@
         return 1 + mRandom.nextLong(20);
     }
 
-    private boolean lost(PeerMessage message) {
+    private boolean isLost(PeerMessage message) {
         return mRandom.nextDouble() < mLossShare;
     }
 
-    private boolean duplicated(PeerMessage message) {
-        return !greeting(message) && mRandom.nextDouble() < mDuplicateShare;
+    private boolean isDuplicated(PeerMessage message) {
+        return !isHandshake(message) && mRandom.nextDouble() < mDuplicateShare;
     }
 
-    private static boolean greeting(PeerMessage message) {
+    private static boolean isHandshake(PeerMessage message) {
         return message instanceof PeerMessage.Hello || message instanceof PeerMessage.Welcome;
     }
 }
--- a/src/test/java/org/apricotgauge/decision/gossip/VmSyncTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/VmSyncTest.java
@@ -21,7 +21,7 @@
                     new LinkTable(),
                     new SplittableRandom(1),
                     mEvents::add);
-    private LiveView mView = LiveView.EMPTY;
+    private VmView mView = VmView.EMPTY;
     private final VmSync mSync =
             new VmSync(
                     mContext,
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void doesNotBelieveAListThatDropsMostVms() {
+    void ignoresListThatRemovesMostVms() {
         // Caller: every request is refused for want of targets. The platform's list is briefly
         // empty, which reads as the removal of all VMs.
         publishFortyVms();
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void believesAFewRemovalsAndALeavingVm() {
+    void appliesFewRemovalsAndLeavingVm() {
         publishFortyVms();
         publish(1, 2, List.of(status(3, VmStatus.State.LEAVING)), List.of("vm1"));
         assertThat(mView.leaving("vm1")).isTrue();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void keepsWhatItHasWhenThePlatformIsStale() {
+    void ignoresStalePlatform() {
         publishFortyVms();
         publish(1, 5, List.of(status(3, VmStatus.State.LEAVING)), List.of());
         publish(0, 2, List.of(status(3, VmStatus.State.LIVE)), List.of());
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aNodesOwnWordIsNotTakenBackByTheLaggingList() {
+    void laggingListDoesNotRevokeLeavingNotice() {
         // Caller: work goes to a VM that said it is leaving, because the list still says LIVE.
         publishFortyVms();
         mView = mView.withAlive(vm(3), 7).withNotice(new LeavingNotice("vm3", "", 7));
--- a/src/test/java/org/apricotgauge/decision/gossip/WatcherElectionTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/WatcherElectionTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void twoOfAFailureDomainWatchWhateverItsSize() {
+    void twoNodesPerFailureDomainWatchAtAnySize() {
         List<Vm> fleet = domain(fleet(NODES), "d3");
         assertThat(withRole(WatcherElection.Role.WATCH, fleet, id -> false, id -> false))
                 .hasSize(WatcherElection.WATCHERS);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void theNextTakesOverFromADeadOrCutOffWatcher() {
+    void nextCandidateReplacesUnreachableWatcher() {
         // Caller: changes stop coming to a failure domain. Both of its watchers are gone, one dead
         // and one cut off from the platform.
         List<Vm> fleet = domain(fleet(600), "d1");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aPlatformThatIsDownIsTriedByFewNodes() {
+    void unavailablePlatformIsRetriedByFewNodes() {
         // Platform: it comes back and is called by the whole fleet at once. Each watcher that loses
         // it hands over to the next until all 590 nodes of a domain have tried.
         List<Vm> fleet = domain(fleet(NODES), "d2");
--- a/src/test/java/org/apricotgauge/node/FleetRecorderTest.java
+++ b/src/test/java/org/apricotgauge/node/FleetRecorderTest.java
@@ -24,11 +24,11 @@
 
     @Test
     void eachChangeOfTheWatchIsRecordedOnce() {
-        mRecorder.role(WatcherElection.Role.REST);
+        mRecorder.role(WatcherElection.Role.PASSIVE);
         mRecorder.role(WatcherElection.Role.WATCH);
         mRecorder.role(WatcherElection.Role.WATCH);
         mRecorder.role(WatcherElection.Role.RETRY);
-        mRecorder.role(WatcherElection.Role.REST);
+        mRecorder.role(WatcherElection.Role.PASSIVE);
 
         assertThat(bodies())
                 .containsExactly(
--- a/src/test/java/org/apricotgauge/node/RoutingStateTest.java
+++ b/src/test/java/org/apricotgauge/node/RoutingStateTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.apricotgauge.decision.gossip.LiveView;
+import org.apricotgauge.decision.gossip.VmView;
 import org.apricotgauge.model.Configuration;
 import org.apricotgauge.model.DetectionOdds;
 import org.apricotgauge.model.Service;
@@ -29,7 +29,7 @@
         assertThat(mState.saysItLeaves(FIRST)).isTrue();
         assertThat(mState.saysItLeaves(FIRST)).isFalse();
         assertThat(mState.table().takesWork(FIRST)).isFalse();
-        mState.membersChanged(SiteMembers.of(LiveView.EMPTY, ""));
+        mState.membersChanged(SiteMembers.of(VmView.EMPTY, ""));
         mState.configurationChanged(2, Configuration.EMPTY);
         mState.configurationChanged(3, mWithFirst);
 
--- a/src/test/java/org/apricotgauge/peer/MessageCodecTest.java
+++ b/src/test/java/org/apricotgauge/peer/MessageCodecTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.apricotgauge.decision.gossip.DigestedRecord;
 import org.apricotgauge.decision.gossip.PeerMessage;
-import org.apricotgauge.decision.gossip.Summary;
+import org.apricotgauge.decision.gossip.StateSummary;
 import org.apricotgauge.platform.LogRecord;
 import org.junit.jupiter.api.Test;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
@@ -24,7 +24,7 @@
 
     @Test
     void readsWhatItWrote() throws IOException {
-        PeerMessage ping = new PeerMessage.Ping(7, new Summary(1, "d", 2, -3));
+        PeerMessage ping = new PeerMessage.Ping(7, new StateSummary(1, "d", 2, -3));
         assertThat(decode(MessageCodec.encode(ping))).isEqualTo(ping);
         PeerMessage entries =
                 new PeerMessage.Entries(
