--- a/src/main/java/org/apricotgauge/bench/MeasureCapacity.java
+++ b/src/main/java/org/apricotgauge/bench/MeasureCapacity.java
@@ -17,9 +17,9 @@
 import org.apricotgauge.decision.attempt.AttemptId;
 import org.apricotgauge.decision.attempt.AttemptLedger;
 import org.apricotgauge.decision.attempt.AttemptLimits;
-import org.apricotgauge.decision.detection.Membership;
+import org.apricotgauge.decision.detection.ConfiguredTargets;
 import org.apricotgauge.decision.detection.Observation;
-import org.apricotgauge.decision.detection.ObservationEnd;
+import org.apricotgauge.decision.detection.ObservationPoint;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 import org.apricotgauge.decision.detection.ServiceDetector;
 import org.apricotgauge.decision.detection.TargetPresence;
@@ -146,7 +146,7 @@
                 "detector, one observation",
                 microsEach(200_000, i -> detector.observe(observation(i))),
                 "us");
-        Membership membership = membership();
+        ConfiguredTargets membership = membership();
         System.out.printf(
                 "%-44s %10.3f %12s%n",
                 "detector, one decision over 19 targets",
@@ -238,19 +238,20 @@
     private static Observation observation(int i) {
         return new Observation(
                 "t" + i % TARGETS_PER_SERVICE,
-                ObservationEnd.ENTRY,
+                ObservationPoint.ENTRY,
                 ObservedOutcome.SUCCESS,
                 5_000 + i % 1_000,
                 i,
                 Observation.NO_KEY);
     }
 
-    private static Membership membership() {
-        List<Membership.Entry> entries = new ArrayList<>();
+    private static ConfiguredTargets membership() {
+        List<ConfiguredTargets.ConfiguredTarget> entries = new ArrayList<>();
         for (int t = 0; t < TARGETS_PER_SERVICE; t++) {
-            entries.add(new Membership.Entry("t" + t, SLOTS, TargetPresence.PRESENT));
+            entries.add(
+                    new ConfiguredTargets.ConfiguredTarget("t" + t, SLOTS, TargetPresence.PRESENT));
         }
-        return new Membership(entries);
+        return new ConfiguredTargets(entries);
     }
 
     private static AttemptLedger ledgerOf(int attempts) {
--- a/src/main/java/org/apricotgauge/bench/policy/ConsecutiveErrorsPolicy.java
+++ b/src/main/java/org/apricotgauge/bench/policy/ConsecutiveErrorsPolicy.java
@@ -1,6 +1,6 @@
 package org.apricotgauge.bench.policy;
 
-import org.apricotgauge.decision.detection.ObservationEnd;
+import org.apricotgauge.decision.detection.ObservationPoint;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 
 /**
@@ -22,7 +22,11 @@
 
     @Override
     public boolean observe(
-            int target, ObservationEnd end, ObservedOutcome outcome, long micros, long nowMillis) {
+            int target,
+            ObservationPoint end,
+            ObservedOutcome outcome,
+            long micros,
+            long nowMillis) {
         mErrors[target] = outcome == ObservedOutcome.SUCCESS ? 0 : mErrors[target] + 1;
         if (mErrors[target] < ERRORS) {
             return false;
--- a/src/main/java/org/apricotgauge/bench/policy/DetectorPolicy.java
+++ b/src/main/java/org/apricotgauge/bench/policy/DetectorPolicy.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.apricotgauge.decision.detection.Membership;
+import org.apricotgauge.decision.detection.ConfiguredTargets;
+import org.apricotgauge.decision.detection.EjectionVerdicts;
 import org.apricotgauge.decision.detection.Observation;
-import org.apricotgauge.decision.detection.ObservationEnd;
+import org.apricotgauge.decision.detection.ObservationPoint;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 import org.apricotgauge.decision.detection.ServiceDetector;
 import org.apricotgauge.decision.detection.TargetPresence;
-import org.apricotgauge.decision.detection.Verdicts;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Service;
 
@@ -20,11 +20,11 @@
     private static final int ALL_PERCENT = 100;
 
     private final String[] mIds;
-    private final Membership mMembership;
+    private final ConfiguredTargets mMembership;
     private final ServiceDetector mDetector;
     private final ServiceDetector mOther;
     private final double[] mWeights;
-    private Verdicts mVerdicts;
+    private EjectionVerdicts mVerdicts;
     private long mDigestMillis;
     private int mWrongForOthers;
 
@@ -38,12 +38,14 @@
         Service service =
                 new Service("pool", SimulatedPool.FLOOR_PERCENT, pool.odds(), 0, ALL_PERCENT, none);
         mIds = new String[pool.targets()];
-        List<Membership.Entry> entries = new ArrayList<>();
+        List<ConfiguredTargets.ConfiguredTarget> entries = new ArrayList<>();
         for (int i = 0; i < mIds.length; i++) {
             mIds[i] = "t" + i;
-            entries.add(new Membership.Entry(mIds[i], pool.slots(), TargetPresence.PRESENT));
+            entries.add(
+                    new ConfiguredTargets.ConfiguredTarget(
+                            mIds[i], pool.slots(), TargetPresence.PRESENT));
         }
-        mMembership = new Membership(entries);
+        mMembership = new ConfiguredTargets(entries);
         mDetector = new ServiceDetector(service, 1);
         mOther = withOther ? new ServiceDetector(service, 1) : null;
         mWeights = new double[mIds.length];
@@ -52,7 +54,11 @@
 
     @Override
     public boolean observe(
-            int target, ObservationEnd end, ObservedOutcome outcome, long micros, long nowMillis) {
+            int target,
+            ObservationPoint end,
+            ObservedOutcome outcome,
+            long micros,
+            long nowMillis) {
         Observation observation =
                 new Observation(mIds[target], end, outcome, micros, nowMillis, Observation.NO_KEY);
         if (!mDetector.observe(observation)) {
@@ -71,7 +77,7 @@
         if (mOther != null && nowMillis - mDigestMillis >= DIGEST_MILLIS) {
             mDigestMillis = nowMillis;
             mOther.mergeRemote("entry", mDetector.digest(), nowMillis);
-            Verdicts others = mOther.decide(nowMillis, mMembership);
+            EjectionVerdicts others = mOther.decide(nowMillis, mMembership);
             for (String id : mIds) {
                 boolean isEligible = others.isEligible(id);
                 mWrongForOthers += isEligible ? 0 : 1;
--- a/src/main/java/org/apricotgauge/bench/policy/EjectionPolicy.java
+++ b/src/main/java/org/apricotgauge/bench/policy/EjectionPolicy.java
@@ -1,6 +1,6 @@
 package org.apricotgauge.bench.policy;
 
-import org.apricotgauge.decision.detection.ObservationEnd;
+import org.apricotgauge.decision.detection.ObservationPoint;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 
 /** A policy under measurement; targets go by their number. */
@@ -8,7 +8,7 @@
 
     /** Takes in one ended request; returns whether it was a cause to decide. */
     boolean observe(
-            int target, ObservationEnd end, ObservedOutcome outcome, long micros, long nowMillis);
+            int target, ObservationPoint end, ObservedOutcome outcome, long micros, long nowMillis);
 
     /** Decides again. */
     void decide(long nowMillis);
--- a/src/main/java/org/apricotgauge/bench/policy/Episode.java
+++ b/src/main/java/org/apricotgauge/bench/policy/Episode.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.random.RandomGenerator;
-import org.apricotgauge.decision.detection.ObservationEnd;
+import org.apricotgauge.decision.detection.ObservationPoint;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 
 /**
@@ -173,14 +173,14 @@
         long nowMillis = done.timeMicros() / 1_000;
         mInFlight[done.target()]--;
         boolean isPath = mFault.scope() == Fault.Scope.PATH;
-        ObservationEnd end = isPath ? ObservationEnd.ENTRY : ObservationEnd.GUARD;
+        ObservationPoint end = isPath ? ObservationPoint.ENTRY : ObservationPoint.GUARD;
         ObservedOutcome outcome = done.isCut() ? ObservedOutcome.PATH_FAULT : done.outcome();
         boolean isCause = mPolicy.observe(done.target(), end, outcome, done.micros(), nowMillis);
         if (isPath && mPolicy instanceof DetectorPolicy) {
             isCause |=
                     mPolicy.observe(
                             done.target(),
-                            ObservationEnd.GUARD,
+                            ObservationPoint.GUARD,
                             done.outcome(),
                             done.micros(),
                             nowMillis);
--- a/src/main/java/org/apricotgauge/bench/policy/SuccessRatePolicy.java
+++ b/src/main/java/org/apricotgauge/bench/policy/SuccessRatePolicy.java
@@ -1,6 +1,6 @@
 package org.apricotgauge.bench.policy;
 
-import org.apricotgauge.decision.detection.ObservationEnd;
+import org.apricotgauge.decision.detection.ObservationPoint;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 
 /**
@@ -29,7 +29,11 @@
 
     @Override
     public boolean observe(
-            int target, ObservationEnd end, ObservedOutcome outcome, long micros, long nowMillis) {
+            int target,
+            ObservationPoint end,
+            ObservedOutcome outcome,
+            long micros,
+            long nowMillis) {
         mRequests[target]++;
         mSuccesses[target] += outcome == ObservedOutcome.SUCCESS ? 1 : 0;
         return false;
--- a/src/main/java/org/apricotgauge/decision/detection/Alternative.java
+++ b/src/main/java/org/apricotgauge/decision/detection/AlternativeHypothesis.java
@@ -7,11 +7,11 @@
  *
  * @param name what it is, for the evidence text
  * @param kind whether it is about failures or service time
- * @param law makes the sick target's law of categories from the pool's
+ * @param transform makes the sick target's law of categories from the pool's
  */
-record Alternative(String name, Kind kind, Law law) {
+record AlternativeHypothesis(String name, Kind kind, Transform transform) {
     /** The alternatives that are tested side by side. */
-    static final List<Alternative> ALL =
+    static final List<AlternativeHypothesis> ALL =
             List.of(
                     failing("failing 5 of 100", 0.05),
                     failing("failing 30 of 100", 0.3),
@@ -25,7 +25,7 @@
     /** How far the failure probability of an alternative lies above the pool's, at least. */
     private static final double MIN_FAILURE_RATIO = 4;
 
-    private static final double MAX_FAILURE = 0.95;
+    private static final double MAX_FAILURE_PROBABILITY = 0.95;
 
     /** What an alternative is about. */
     enum Kind {
@@ -35,26 +35,28 @@
 
     /** Makes a sick target's law from the pool's; both are probabilities of the categories. */
     @FunctionalInterface
-    interface Law {
-        double[] sick(double[] pool);
+    interface Transform {
+        double[] apply(double[] pool);
     }
 
-    private static Alternative failing(String name, double probability) {
-        return new Alternative(name, Kind.FAILURE, pool -> failingLaw(pool, probability));
+    private static AlternativeHypothesis failing(String name, double probability) {
+        return new AlternativeHypothesis(
+                name, Kind.FAILURE, pool -> failingDistribution(pool, probability));
     }
 
-    private static Alternative slow(String name, double share, int fromBins, int toBins) {
-        return new Alternative(name, Kind.SLOWNESS, pool -> slowLaw(pool, share, fromBins, toBins));
+    private static AlternativeHypothesis slow(String name, double share, int fromBins, int toBins) {
+        return new AlternativeHypothesis(
+                name, Kind.SLOWNESS, pool -> slowDistribution(pool, share, fromBins, toBins));
     }
 
-    private static double[] failingLaw(double[] pool, double probability) {
+    private static double[] failingDistribution(double[] pool, double probability) {
         double failure =
                 Math.min(
-                        MAX_FAILURE,
+                        MAX_FAILURE_PROBABILITY,
                         Math.max(probability, MIN_FAILURE_RATIO * pool[Category.FAILURE]));
         double rest = (1 - failure) / (1 - pool[Category.FAILURE]);
         double[] sick = new double[Category.COUNT];
-        for (int bin = 0; bin < LatencyScale.BINS; bin++) {
+        for (int bin = 0; bin < LatencyBins.COUNT; bin++) {
             sick[bin] = pool[bin] * rest;
         }
         sick[Category.FAILURE] = failure;
@@ -62,13 +64,14 @@
     }
 
     /** Moves a share of the answers by each number of bins of the range, in equal parts. */
-    private static double[] slowLaw(double[] pool, double share, int fromBins, int toBins) {
+    private static double[] slowDistribution(
+            double[] pool, double share, int fromBins, int toBins) {
         double[] sick = new double[Category.COUNT];
         double part = share / (toBins - fromBins + 1);
-        for (int bin = 0; bin < LatencyScale.BINS; bin++) {
+        for (int bin = 0; bin < LatencyBins.COUNT; bin++) {
             sick[bin] += pool[bin] * (1 - share);
             for (int shift = fromBins; shift <= toBins; shift++) {
-                sick[Math.min(LatencyScale.BINS - 1, bin + shift)] += pool[bin] * part;
+                sick[Math.min(LatencyBins.COUNT - 1, bin + shift)] += pool[bin] * part;
             }
         }
         sick[Category.FAILURE] = pool[Category.FAILURE];
--- a/src/main/java/org/apricotgauge/decision/detection/Category.java
+++ b/src/main/java/org/apricotgauge/decision/detection/Category.java
@@ -3,10 +3,10 @@
 /** The categories of an observation: one for each bin of service time, and one for failure. */
 final class Category {
     /** A request that failed by the doing of what the view tests. */
-    static final int FAILURE = LatencyScale.BINS;
+    static final int FAILURE = LatencyBins.COUNT;
 
     /** Number of categories. */
-    static final int COUNT = LatencyScale.BINS + 1;
+    static final int COUNT = LatencyBins.COUNT + 1;
 
     /** An observation that says nothing about sickness. */
     static final int NONE = -1;
@@ -22,8 +22,8 @@
     static int of(Observation observation) {
         switch (observation.outcome()) {
             case SUCCESS:
-            case OVERDUE:
-                return LatencyScale.bin(observation.serviceTimeMicros());
+            case UNRESPONSIVE:
+                return LatencyBins.bin(observation.serviceTimeMicros());
             case TARGET_ERROR:
             case TIMEOUT:
             case PATH_FAULT:
--- a/src/main/java/org/apricotgauge/decision/detection/Membership.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ConfiguredTargets.java
@@ -14,14 +14,14 @@
  *
  * <p>Every configured target is listed, also a dead one: the floor is a share of all of them.
  *
- * @param entries one for each configured target, each id once
+ * @param targets one for each configured target, each id once
  */
-public record Membership(List<Entry> entries) {
+public record ConfiguredTargets(List<ConfiguredTarget> targets) {
     /** Copies the list and refuses a target that is listed twice. */
-    public Membership {
-        entries = List.copyOf(Checks.notNull("membership.entries", entries));
+    public ConfiguredTargets {
+        targets = List.copyOf(Checks.notNull("membership.entries", targets));
         Set<String> ids = new HashSet<>();
-        for (Entry entry : entries) {
+        for (ConfiguredTarget entry : targets) {
             if (!ids.add(entry.targetId())) {
                 throw new IllegalArgumentException(
                         "membership.entries lists target " + entry.targetId() + " twice");
@@ -31,12 +31,15 @@
 
     /** Returns the slots of all configured targets. */
     public int configuredSlots() {
-        return entries.stream().mapToInt(Entry::slots).sum();
+        return targets.stream().mapToInt(ConfiguredTarget::slots).sum();
     }
 
     /** Returns the slots of the targets that take work in full. */
     public int presentSlots() {
-        return entries.stream().filter(Entry::isPresent).mapToInt(Entry::slots).sum();
+        return targets.stream()
+                .filter(ConfiguredTarget::isPresent)
+                .mapToInt(ConfiguredTarget::slots)
+                .sum();
     }
 
     /**
@@ -46,9 +49,9 @@
      * @param slots how many requests it runs at a time
      * @param presence whether it can take work
      */
-    public record Entry(String targetId, int slots, TargetPresence presence) {
+    public record ConfiguredTarget(String targetId, int slots, TargetPresence presence) {
         /** Checks the parts. */
-        public Entry {
+        public ConfiguredTarget {
             Checks.notNull("entry.targetId", targetId);
             Checks.inRange("entry.slots", slots, 1, Integer.MAX_VALUE);
             Checks.notNull("entry.presence", presence);
--- a/src/main/java/org/apricotgauge/decision/detection/FailingKey.java
+++ b/src/main/java/org/apricotgauge/decision/detection/DominantFailureKey.java
@@ -6,25 +6,25 @@
  * <p>It keeps the majority candidate of Boyer and Moore (1981), so that a target with thousands of
  * members costs three numbers.
  */
-final class FailingKey {
+final class DominantFailureKey {
     private static final int MIN_FAILURES = 3;
-    private static final int MEMORY_FAILURES = 64;
-    private static final double MOST = 0.6;
+    private static final int MAX_COUNTED_FAILURES = 64;
+    private static final double DOMINANT_SHARE = 0.6;
 
-    private long mKeyHash = Observation.NO_KEY;
+    private long mCandidateHash = Observation.NO_KEY;
     private int mLead;
     private int mFailures;
 
-    void failed(long keyHash) {
-        if (mFailures >= MEMORY_FAILURES) {
+    void recordFailure(long keyHash) {
+        if (mFailures >= MAX_COUNTED_FAILURES) {
             mFailures /= 2;
             mLead /= 2;
         }
         mFailures++;
         if (mLead == 0) {
-            mKeyHash = keyHash;
+            mCandidateHash = keyHash;
         }
-        mLead += keyHash == mKeyHash ? 1 : -1;
+        mLead += keyHash == mCandidateHash ? 1 : -1;
     }
 
     void clear() {
@@ -32,9 +32,9 @@
         mFailures = 0;
     }
 
-    boolean isMost() {
-        return mKeyHash != Observation.NO_KEY
+    boolean isDominant() {
+        return mCandidateHash != Observation.NO_KEY
                 && mFailures >= MIN_FAILURES
-                && mLead >= MOST * mFailures;
+                && mLead >= DOMINANT_SHARE * mFailures;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/Verdicts.java
+++ b/src/main/java/org/apricotgauge/decision/detection/EjectionVerdicts.java
@@ -19,14 +19,14 @@
  * @param probesDue targets of which one repeatable request should be sent now, if the entries'
  *     common pause allows; at most one a decision
  */
-public record Verdicts(
+public record EjectionVerdicts(
         long timeMillis,
-        Map<String, Verdict> byTarget,
+        Map<String, EjectionVerdict> byTarget,
         int floorSlots,
         int eligibleSlots,
         List<String> probesDue) {
     /** Copies the parts. */
-    public Verdicts {
+    public EjectionVerdicts {
         byTarget = Map.copyOf(byTarget);
         probesDue = List.copyOf(probesDue);
     }
@@ -37,13 +37,13 @@
      * <p>An unknown target is eligible: without evidence nobody is ejected.
      */
     public boolean isEligible(String targetId) {
-        Verdict verdict = byTarget.get(targetId);
+        EjectionVerdict verdict = byTarget.get(targetId);
         return verdict == null || verdict.isEligible();
     }
 
     /** Returns the share of its usual work that a target should get, from 0 to 1. */
     public double weight(String targetId) {
-        Verdict verdict = byTarget.get(targetId);
+        EjectionVerdict verdict = byTarget.get(targetId);
         return verdict == null ? 1 : verdict.weight();
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/EvidenceDigest.java
+++ b/src/main/java/org/apricotgauge/decision/detection/EvidenceDigest.java
@@ -33,7 +33,7 @@
      * @param guard counts of the node beside the target, or null where it is not that node
      * @param entry counts of the node as an entry, or null where it sent nothing
      */
-    public record TargetEvidence(String targetId, EndEvidence guard, EndEvidence entry) {
+    public record TargetEvidence(String targetId, EvidenceCounts guard, EvidenceCounts entry) {
         /** Checks the parts. */
         public TargetEvidence {
             Checks.notNull("evidence.targetId", targetId);
@@ -50,17 +50,17 @@
      * @param latencyCounts successes in each bin of service time; a bin is a factor of the square
      *     root of two wide and bin 0 ends at 250 microseconds
      */
-    public record EndEvidence(
+    public record EvidenceCounts(
             long failures, long pathFaults, long sheds, int firstBin, List<Long> latencyCounts) {
         /** Copies the list. */
-        public EndEvidence {
-            Checks.inRange("evidence.firstBin", firstBin, 0, LatencyScale.BINS);
+        public EvidenceCounts {
+            Checks.inRange("evidence.firstBin", firstBin, 0, LatencyBins.COUNT);
             latencyCounts = List.copyOf(latencyCounts);
             Checks.inRange(
                     "evidence.latencyCounts.size",
                     firstBin + latencyCounts.size(),
                     0,
-                    LatencyScale.BINS);
+                    LatencyBins.COUNT);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/EvidenceView.java
+++ b/src/main/java/org/apricotgauge/decision/detection/EvidenceView.java
@@ -17,14 +17,14 @@
     private static final long MIN_REFRESH_SAMPLES = 32;
     private static final double REFRESH_GROWTH = 0.1;
     private static final double MIN_BASELINE_SAMPLES = 60;
-    private static final double HIGH_ONE_IN = 1_000;
-    private static final double FELLOW_SAMPLES_FOR_FAILURE = 0.5;
-    private static final double FELLOW_SAMPLES_FOR_SLOWNESS = 2.5;
-    private static final int ENOUGH_SAMPLES = 16;
+    private static final double P999_TAIL_DIVISOR = 1_000;
+    private static final double OTHER_SAMPLES_FOR_FAILURE = 0.5;
+    private static final double OTHER_SAMPLES_FOR_SLOWNESS = 2.5;
+    private static final int SUFFICIENT_OWN_SAMPLES = 16;
     private static final double REBASE_SHARE = 0.5;
-    private static final double MAX_THRESHOLDS = 1.5;
-    private static final double RATE_MEMORY_MILLIS = 60_000;
-    private static final double FIRST_RATE_PER_SECOND = 10;
+    private static final double MAX_THRESHOLD_RATIO = 1.5;
+    private static final double RATE_TIME_CONSTANT_MILLIS = 60_000;
+    private static final double INITIAL_RATE_PER_SECOND = 10;
 
     /** A target is tested in two views at a time, of the guards and of this entry. */
     private static final int TESTS = 2 * ScoreTable.TESTS;
@@ -32,10 +32,10 @@
     private DetectionOdds mOdds;
     private final Map<String, TargetStream> mStreams = new LinkedHashMap<>();
     private double mThresholdNats;
-    private double mRatePerSecond = FIRST_RATE_PER_SECOND;
+    private double mRatePerSecond = INITIAL_RATE_PER_SECOND;
     private long mRefreshedMillis;
     private long mSamplesAtRefresh;
-    private long mSamplesOfNextRefresh;
+    private long mNextRefreshSamples;
     private long mSamples;
 
     EvidenceView(DetectionOdds odds) {
@@ -57,7 +57,7 @@
         TargetStream stream = streamFor(targetId, nowMillis);
         stream.add(category, mSamples, nowMillis);
         mSamples++;
-        return stream.isTested() && stream.suspicion() >= mThresholdNats;
+        return stream.isTested() && stream.maxNats() >= mThresholdNats;
     }
 
     /** Takes in samples whose order is not known. */
@@ -76,7 +76,7 @@
             mStreams.put(targetId, stream);
         }
         if (isNew
-                || mSamples >= mSamplesOfNextRefresh
+                || mSamples >= mNextRefreshSamples
                 || nowMillis - mRefreshedMillis >= REFRESH_MILLIS) {
             refresh(nowMillis);
         }
@@ -97,29 +97,29 @@
      * Returns the service time that nine hundred and ninety-nine in a thousand samples keep, or
      * {@link Long#MAX_VALUE} while there are too few.
      */
-    long highMicros() {
+    long p999Micros() {
         double[] counts = new double[Category.COUNT];
         for (TargetStream stream : mStreams.values()) {
             stream.addHistoryTo(counts);
         }
         double total = 0;
-        for (int bin = 0; bin < LatencyScale.BINS; bin++) {
+        for (int bin = 0; bin < LatencyBins.COUNT; bin++) {
             total += counts[bin];
         }
         double above = 0;
-        int bin = LatencyScale.BINS;
-        while (bin > 0 && above + counts[bin - 1] <= total / HIGH_ONE_IN) {
+        int bin = LatencyBins.COUNT;
+        while (bin > 0 && above + counts[bin - 1] <= total / P999_TAIL_DIVISOR) {
             bin--;
             above += counts[bin];
         }
-        return total < HIGH_ONE_IN ? Long.MAX_VALUE : LatencyScale.endMicros(bin - 1);
+        return total < P999_TAIL_DIVISOR ? Long.MAX_VALUE : LatencyBins.endMicros(bin - 1);
     }
 
     /** Sets what a target's samples are used for. */
     void setMode(String targetId, TargetStream.Mode mode) {
         TargetStream stream = mStreams.get(targetId);
         if (stream != null && stream.setMode(mode)) {
-            mSamplesOfNextRefresh = mSamples;
+            mNextRefreshSamples = mSamples;
         }
     }
 
@@ -129,14 +129,14 @@
         if (stream == null) {
             return Finding.none(mThresholdNats);
         }
-        stream.capAt(mThresholdNats * MAX_THRESHOLDS);
+        stream.capAt(mThresholdNats * MAX_THRESHOLD_RATIO);
         int[][] lastCounts = null;
         Finding strongest = Finding.none(mThresholdNats);
         for (int test = 0; test < ScoreTable.TESTS; test++) {
             double nats = stream.nats(test);
             if (nats >= mThresholdNats) {
-                lastCounts = lastCounts == null ? lastCounts(stream) : lastCounts;
-                double share = PoolBaseline.shareLeft(stream, test, lastCounts);
+                lastCounts = lastCounts == null ? recentCounts(stream) : lastCounts;
+                double share = PoolBaseline.remainingShare(stream, test, lastCounts);
                 if (share < REBASE_SHARE && PoolBaseline.isChanged(stream, test, lastCounts)) {
                     rebase();
                     return Finding.none(mThresholdNats);
@@ -160,9 +160,10 @@
     private boolean isComparable(TargetStream stream, int test) {
         int own = stream.samplesSinceRise(test);
         long others = mSamples - stream.poolSamplesAtRise(test) - own;
-        boolean isFailure = Alternative.ALL.get(test).kind() == Alternative.Kind.FAILURE;
-        double each = isFailure ? FELLOW_SAMPLES_FOR_FAILURE : FELLOW_SAMPLES_FOR_SLOWNESS;
-        return others >= each * (mStreams.size() - 1) || own >= ENOUGH_SAMPLES;
+        boolean isFailure =
+                AlternativeHypothesis.ALL.get(test).kind() == AlternativeHypothesis.Kind.FAILURE;
+        double each = isFailure ? OTHER_SAMPLES_FOR_FAILURE : OTHER_SAMPLES_FOR_SLOWNESS;
+        return others >= each * (mStreams.size() - 1) || own >= SUFFICIENT_OWN_SAMPLES;
     }
 
     /**
@@ -177,27 +178,28 @@
                 stream.rebase();
             }
         }
-        mSamplesOfNextRefresh = mSamples;
+        mNextRefreshSamples = mSamples;
     }
 
-    private int[][] lastCounts(TargetStream stream) {
-        return PoolBaseline.lastCounts(PoolBaseline.fellows(stream, mStreams.values()));
+    private int[][] recentCounts(TargetStream stream) {
+        return PoolBaseline.recentCounts(PoolBaseline.referenceTargets(stream, mStreams.values()));
     }
 
     private void refresh(long nowMillis) {
         measureRate(nowMillis - mRefreshedMillis);
         mRefreshedMillis = nowMillis;
         mSamplesAtRefresh = mSamples;
-        mSamplesOfNextRefresh =
+        mNextRefreshSamples =
                 mSamples
                         + Math.max(
                                 MIN_REFRESH_SAMPLES,
                                 (long) (REFRESH_GROWTH * PoolBaseline.samples(mStreams.values())));
         mThresholdNats = threshold();
         for (TargetStream stream : mStreams.values()) {
-            List<TargetStream> fellows = PoolBaseline.fellows(stream, mStreams.values());
+            List<TargetStream> fellows = PoolBaseline.referenceTargets(stream, mStreams.values());
             boolean withSlowness = PoolBaseline.samples(fellows) >= MIN_BASELINE_SAMPLES;
-            stream.setScores(new ScoreTable(PoolBaseline.longRun(fellows), withSlowness));
+            stream.setScores(
+                    new ScoreTable(PoolBaseline.longRunDistribution(fellows), withSlowness));
         }
     }
 
@@ -206,7 +208,7 @@
             return;
         }
         double now = (mSamples - mSamplesAtRefresh) * 1_000.0 / elapsedMillis / mStreams.size();
-        double weight = 1 - Math.exp(-elapsedMillis / RATE_MEMORY_MILLIS);
+        double weight = 1 - Math.exp(-elapsedMillis / RATE_TIME_CONSTANT_MILLIS);
         mRatePerSecond += weight * (now - mRatePerSecond);
     }
 
--- a/src/main/java/org/apricotgauge/decision/detection/Finding.java
+++ b/src/main/java/org/apricotgauge/decision/detection/Finding.java
@@ -5,7 +5,7 @@
 /**
  * The strongest evidence against a target in one view.
  *
- * @param test number of the test, as in {@link Alternative#ALL}
+ * @param test number of the test, as in {@link AlternativeHypothesis#ALL}
  * @param nats its statistic
  * @param thresholdNats the statistic at which the target is ejected
  * @param natsPerSample its evidence for each sample: how bad the target is
@@ -20,7 +20,7 @@
         return nats >= thresholdNats;
     }
 
-    double share() {
+    double thresholdRatio() {
         return nats / thresholdNats;
     }
 
@@ -29,7 +29,7 @@
                 Locale.ROOT,
                 "%s: %s, %.1f nats of %.1f",
                 source,
-                Alternative.ALL.get(test).name(),
+                AlternativeHypothesis.ALL.get(test).name(),
                 nats,
                 thresholdNats);
     }
--- a/src/main/java/org/apricotgauge/decision/detection/FloorPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/detection/FloorPolicy.java
@@ -32,16 +32,20 @@
     }
 
     /** Returns the ids of the candidates that are ejected. */
-    static Set<String> choose(List<Candidate> candidates, Membership membership, int floorSlots) {
-        Map<String, Membership.Entry> entries =
-                membership.entries().stream()
-                        .collect(Collectors.toMap(Membership.Entry::targetId, Function.identity()));
+    static Set<String> selectEjections(
+            List<Candidate> candidates, ConfiguredTargets membership, int floorSlots) {
+        Map<String, ConfiguredTargets.ConfiguredTarget> entries =
+                membership.targets().stream()
+                        .collect(
+                                Collectors.toMap(
+                                        ConfiguredTargets.ConfiguredTarget::targetId,
+                                        Function.identity()));
         List<Candidate> ranked = new ArrayList<>(candidates);
         ranked.sort(Candidate.WORST_FIRST);
         Set<String> ejected = new HashSet<>();
         int eligibleSlots = membership.presentSlots();
         for (Candidate candidate : ranked) {
-            Membership.Entry entry = entries.get(candidate.targetId());
+            ConfiguredTargets.ConfiguredTarget entry = entries.get(candidate.targetId());
             if (entry.isPresent() && eligibleSlots - entry.slots() >= floorSlots) {
                 ejected.add(candidate.targetId());
                 eligibleSlots -= entry.slots();
@@ -59,10 +63,11 @@
      *
      * @throws IllegalStateException if something is ejected and less than the floor is left
      */
-    static int eligibleSlots(Map<String, Verdict> verdicts, Membership membership, int floorSlots) {
+    static int eligibleSlots(
+            Map<String, EjectionVerdict> verdicts, ConfiguredTargets membership, int floorSlots) {
         int eligibleSlots = 0;
         int ejectedSlots = 0;
-        for (Membership.Entry entry : membership.entries()) {
+        for (ConfiguredTargets.ConfiguredTarget entry : membership.targets()) {
             if (!entry.isPresent()) {
                 continue;
             }
--- a/src/main/java/org/apricotgauge/decision/detection/LatencyScale.java
+++ b/src/main/java/org/apricotgauge/decision/detection/LatencyBins.java
@@ -1,21 +1,21 @@
 package org.apricotgauge.decision.detection;
 
 /** The bins of service time: a factor of the square root of two each, from 250 us to 180 s. */
-final class LatencyScale {
+final class LatencyBins {
     /** Number of bins; the first and the last are open. */
-    static final int BINS = 40;
+    static final int COUNT = 40;
 
     private static final double FIRST_EDGE_MICROS = 250;
     private static final double BINS_PER_NAT = 2 / Math.log(2);
 
-    private LatencyScale() {}
+    private LatencyBins() {}
 
     static int bin(long micros) {
         if (micros < FIRST_EDGE_MICROS) {
             return 0;
         }
         int bin = 1 + (int) (BINS_PER_NAT * Math.log(micros / FIRST_EDGE_MICROS));
-        return Math.min(bin, BINS - 1);
+        return Math.min(bin, COUNT - 1);
     }
 
     /** Returns the service time at which a bin ends, in microseconds. */
--- a/src/main/java/org/apricotgauge/decision/detection/OwnCounts.java
+++ b/src/main/java/org/apricotgauge/decision/detection/LocalCounts.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /** What this node has observed of one target at one end, since its start. */
-final class OwnCounts {
-    private final long[] mLatencyCounts = new long[LatencyScale.BINS];
+final class LocalCounts {
+    private final long[] mLatencyCounts = new long[LatencyBins.COUNT];
     private long mFailures;
     private long mPathFaults;
     private long mSheds;
@@ -13,14 +13,14 @@
     void add(Observation observation) {
         switch (observation.outcome()) {
             case SUCCESS:
-            case OVERDUE:
-                mLatencyCounts[LatencyScale.bin(observation.serviceTimeMicros())]++;
+            case UNRESPONSIVE:
+                mLatencyCounts[LatencyBins.bin(observation.serviceTimeMicros())]++;
                 break;
             case TARGET_ERROR:
                 mFailures++;
                 break;
             case TIMEOUT:
-                addTimeout(observation.end());
+                addTimeout(observation.point());
                 break;
             case PATH_FAULT:
                 mPathFaults++;
@@ -39,17 +39,17 @@
      * <p>Beside the target it is the target's. At the entry the path may have swallowed the request
      * or the answer; told to others as the target's, a one-way partition would eject for all.
      */
-    private void addTimeout(ObservationEnd end) {
-        if (end == ObservationEnd.GUARD) {
+    private void addTimeout(ObservationPoint end) {
+        if (end == ObservationPoint.GUARD) {
             mFailures++;
         } else {
             mPathFaults++;
         }
     }
 
-    EvidenceDigest.EndEvidence evidence() {
+    EvidenceDigest.EvidenceCounts evidence() {
         int first = 0;
-        int end = LatencyScale.BINS;
+        int end = LatencyBins.COUNT;
         while (first < end && mLatencyCounts[first] == 0) {
             first++;
         }
@@ -60,6 +60,6 @@
         for (int bin = first; bin < end; bin++) {
             counts.add(mLatencyCounts[bin]);
         }
-        return new EvidenceDigest.EndEvidence(mFailures, mPathFaults, mSheds, first, counts);
+        return new EvidenceDigest.EvidenceCounts(mFailures, mPathFaults, mSheds, first, counts);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/Observation.java
+++ b/src/main/java/org/apricotgauge/decision/detection/Observation.java
@@ -10,16 +10,16 @@
  * }</pre>
  *
  * @param targetId the target that was asked
- * @param end where it was seen
+ * @param point where it was seen
  * @param outcome how it ended
  * @param serviceTimeMicros time from the dispatch to the end of the answer, without the wait in a
- *     queue; read for {@link ObservedOutcome#SUCCESS} and {@link ObservedOutcome#OVERDUE} only
+ *     queue; read for {@link ObservedOutcome#SUCCESS} and {@link ObservedOutcome#UNRESPONSIVE} only
  * @param timeMillis when it ended, on the observing node's monotonic clock
  * @param keyHash hash of the route and member, or {@link #NO_KEY}
  */
 public record Observation(
         String targetId,
-        ObservationEnd end,
+        ObservationPoint point,
         ObservedOutcome outcome,
         long serviceTimeMicros,
         long timeMillis,
@@ -30,7 +30,7 @@
     /** Checks the parts. */
     public Observation {
         Checks.notNull("observation.targetId", targetId);
-        Checks.notNull("observation.end", end);
+        Checks.notNull("observation.end", point);
         Checks.notNull("observation.outcome", outcome);
         Checks.inRange("observation.serviceTimeMicros", serviceTimeMicros, 0, Long.MAX_VALUE);
     }
--- a/src/main/java/org/apricotgauge/decision/detection/ObservedOutcome.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ObservedOutcome.java
@@ -9,10 +9,10 @@
     /** No answer in time; at the entry it may be the path's fault as well as the target's. */
     TIMEOUT,
     /**
-     * Still running after {@link ServiceDetector#overdueMicros}; observed once, and not again when
-     * it ends.
+     * Still running after {@link ServiceDetector#unresponsiveAfterMicros}; observed once, and not
+     * again when it ends.
      */
-    OVERDUE,
+    UNRESPONSIVE,
     /** The target refused the request for load (503): load, never sickness. */
     SHED,
     /** The path failed: refused or silent connection, no acknowledgement from the guard. */
--- a/src/main/java/org/apricotgauge/decision/detection/PoolBaseline.java
+++ b/src/main/java/org/apricotgauge/decision/detection/PoolBaseline.java
@@ -12,7 +12,7 @@
  * or nine, one other sick target would else hide the next.
  */
 final class PoolBaseline {
-    private static final int TRIMMED_PART = 3;
+    private static final int TRIM_DIVISOR = 3;
 
     /**
      * Prior weight of the bins together, in samples: what has not been seen in N samples has a mass
@@ -24,25 +24,25 @@
     private static final double PRIOR_FAILURES = 0.5;
 
     private static final double PRIOR_SAMPLES = 50;
-    private static final int[] LAST_SAMPLES = {8, 32, 128, TargetStream.LAST_SAMPLES};
+    private static final int[] WINDOW_SAMPLES = {8, 32, 128, TargetStream.RECENT_SAMPLES};
 
     /** The window, by its place among those, that tells a lasting change of the whole service. */
-    private static final int CHANGE_WINDOW = 1;
+    private static final int CHANGE_WINDOW_INDEX = 1;
 
     private PoolBaseline() {}
 
     /** Returns the fellows of a target that its baseline is made of. */
-    static List<TargetStream> fellows(TargetStream target, Iterable<TargetStream> all) {
+    static List<TargetStream> referenceTargets(TargetStream target, Iterable<TargetStream> all) {
         List<TargetStream> others = new ArrayList<>();
         for (TargetStream stream : all) {
-            if (stream != target && stream.isCompared()) {
+            if (stream != target && stream.isInBaseline()) {
                 others.add(stream);
             }
         }
         others.sort(
-                Comparator.comparingDouble(TargetStream::suspicion)
+                Comparator.comparingDouble(TargetStream::maxNats)
                         .thenComparing(TargetStream::targetId));
-        return others.subList(0, others.size() - others.size() / TRIMMED_PART);
+        return others.subList(0, others.size() - others.size() / TRIM_DIVISOR);
     }
 
     /** Returns how many samples the fellows hold. */
@@ -55,7 +55,7 @@
     }
 
     /** Returns the probabilities of the categories over some minutes; none of them is 0. */
-    static double[] longRun(List<TargetStream> fellows) {
+    static double[] longRunDistribution(List<TargetStream> fellows) {
         double[] law = new double[Category.COUNT];
         for (TargetStream stream : fellows) {
             stream.addHistoryTo(law);
@@ -63,8 +63,8 @@
         double samples = samples(fellows);
         double failure = (law[Category.FAILURE] + PRIOR_FAILURES) / (samples + PRIOR_SAMPLES);
         double answered = samples - law[Category.FAILURE] + PRIOR_LATENCY_SAMPLES;
-        for (int bin = 0; bin < LatencyScale.BINS; bin++) {
-            law[bin] += PRIOR_LATENCY_SAMPLES / LatencyScale.BINS;
+        for (int bin = 0; bin < LatencyBins.COUNT; bin++) {
+            law[bin] += PRIOR_LATENCY_SAMPLES / LatencyBins.COUNT;
             law[bin] *= (1 - failure) / answered;
         }
         law[Category.FAILURE] = failure;
@@ -72,11 +72,11 @@
     }
 
     /** The fellows' last samples, counted by category over windows of several lengths. */
-    static int[][] lastCounts(List<TargetStream> fellows) {
-        int[][] counts = new int[LAST_SAMPLES.length][Category.COUNT];
-        for (int window = 0; window < LAST_SAMPLES.length; window++) {
+    static int[][] recentCounts(List<TargetStream> fellows) {
+        int[][] counts = new int[WINDOW_SAMPLES.length][Category.COUNT];
+        for (int window = 0; window < WINDOW_SAMPLES.length; window++) {
             for (TargetStream fellow : fellows) {
-                fellow.addLastTo(counts[window], LAST_SAMPLES[window]);
+                fellow.addRecentTo(counts[window], WINDOW_SAMPLES[window]);
             }
         }
         return counts;
@@ -92,23 +92,23 @@
      * samples for the sudden and over hundreds for the faint; where that is more than chance, the
      * evidence shrinks as the divergence between the two does.
      */
-    static double shareLeft(TargetStream target, int test, int[][] lastCounts) {
+    static double remainingShare(TargetStream target, int test, int[][] lastCounts) {
         int samples = target.samplesSinceRise(test);
-        double own = (double) target.suspectSinceRise(test) / Math.max(1, samples);
+        double own = (double) target.suspectSamplesSinceRise(test) / Math.max(1, samples);
         double usual = target.scores().suspectShare(test);
         double now = usual;
         for (int[] counts : lastCounts) {
-            now = Math.max(now, lastShare(target.scores(), test, counts));
+            now = Math.max(now, recentSuspectShare(target.scores(), test, counts));
         }
         return own <= now ? 0 : divergence(own, now) / divergence(own, usual);
     }
 
     /** Returns whether the fellows as a whole have changed, more than chance, for some time. */
     static boolean isChanged(TargetStream target, int test, int[][] lastCounts) {
-        return lastShare(target.scores(), test, lastCounts[CHANGE_WINDOW]) > 0;
+        return recentSuspectShare(target.scores(), test, lastCounts[CHANGE_WINDOW_INDEX]) > 0;
     }
 
-    private static double lastShare(ScoreTable scores, int test, int[] counts) {
+    private static double recentSuspectShare(ScoreTable scores, int test, int[] counts) {
         int suspect = 0;
         int total = 0;
         for (int category = 0; category < Category.COUNT; category++) {
@@ -116,7 +116,8 @@
             suspect += scores.isSuspect(test, category) ? counts[category] : 0;
         }
         double usual = total * scores.suspectShare(test);
-        boolean isFailure = Alternative.ALL.get(test).kind() == Alternative.Kind.FAILURE;
+        boolean isFailure =
+                AlternativeHypothesis.ALL.get(test).kind() == AlternativeHypothesis.Kind.FAILURE;
         double chance = isFailure ? 2 * Math.sqrt(usual) + 1 : Math.sqrt(usual) + 0.5;
         if (suspect <= usual + chance) {
             return 0;
--- a/src/main/java/org/apricotgauge/decision/detection/Readmission.java
+++ b/src/main/java/org/apricotgauge/decision/detection/Readmission.java
@@ -10,84 +10,88 @@
  * flapping target costs less and less work, and a mended one is never out for more than the bound.
  */
 final class Readmission {
-    private static final long BASE_HOLD_MILLIS = 2_000;
-    private static final long MAX_HOLD_MILLIS = 300_000;
-    private static final long QUIET_MILLIS_PER_STRIKE = 600_000;
-    private static final int MAX_STRIKES = 8;
-    private static final double BASE_NATS = Math.log(20);
-    private static final int MIN_REQUESTS = 2;
-    private static final int BASE_MAX_REQUESTS = 8;
-    private static final int MAX_REQUESTS_PER_STRIKE = 2;
+    private static final long BASE_EJECTION_MILLIS = 2_000;
+    private static final long MAX_EJECTION_MILLIS = 300_000;
+    private static final long QUIET_MILLIS_PER_EJECTION = 600_000;
+    private static final int MAX_CONSECUTIVE_EJECTIONS = 8;
+    private static final double BASE_PASS_NATS = Math.log(20);
+    private static final int MIN_PROBES = 2;
+    private static final int BASE_MAX_PROBES = 8;
+    private static final int MAX_PROBES_PER_EJECTION = 2;
 
     /** Evidence of sickness while being tried that sends a target back to its hold time. */
     private static final double RELAPSE_NATS = 2;
 
-    private boolean mIsOut;
-    private long mHoldUntilMillis;
-    private long mReturnedMillis;
-    private int mStrikes;
-    private int mRequests;
-    private double mNats;
+    private boolean mIsEjected;
+    private long mProbeFromMillis;
+    private long mReadmittedMillis;
+    private int mConsecutiveEjections;
+    private int mProbes;
+    private double mHealthyNats;
 
-    boolean isOut() {
-        return mIsOut;
+    boolean isEjected() {
+        return mIsEjected;
     }
 
-    int strikes() {
-        return mStrikes;
+    int consecutiveEjections() {
+        return mConsecutiveEjections;
     }
 
-    boolean isTrying(long nowMillis) {
-        return mIsOut && nowMillis >= mHoldUntilMillis;
+    boolean isProbing(long nowMillis) {
+        return mIsEjected && nowMillis >= mProbeFromMillis;
     }
 
     boolean isPassed(long nowMillis) {
-        if (!isTrying(nowMillis) || mRequests < MIN_REQUESTS) {
+        if (!isProbing(nowMillis) || mProbes < MIN_PROBES) {
             return false;
         }
-        return mNats >= BASE_NATS + mStrikes * Math.log(2)
-                || mRequests >= BASE_MAX_REQUESTS + MAX_REQUESTS_PER_STRIKE * mStrikes;
+        return mHealthyNats >= BASE_PASS_NATS + mConsecutiveEjections * Math.log(2)
+                || mProbes >= BASE_MAX_PROBES + MAX_PROBES_PER_EJECTION * mConsecutiveEjections;
     }
 
-    long holdUntilMillis() {
-        return mHoldUntilMillis;
+    long probeFromMillis() {
+        return mProbeFromMillis;
     }
 
     void eject(long nowMillis) {
-        if (!mIsOut) {
-            long quiet = mStrikes == 0 ? 0 : (nowMillis - mReturnedMillis);
-            mStrikes = Math.max(0, mStrikes - (int) (quiet / QUIET_MILLIS_PER_STRIKE));
+        if (!mIsEjected) {
+            long quiet = mConsecutiveEjections == 0 ? 0 : (nowMillis - mReadmittedMillis);
+            mConsecutiveEjections =
+                    Math.max(0, mConsecutiveEjections - (int) (quiet / QUIET_MILLIS_PER_EJECTION));
         }
-        mIsOut = true;
-        hold(nowMillis);
+        mIsEjected = true;
+        startEjectionTime(nowMillis);
     }
 
-    private void hold(long nowMillis) {
-        mHoldUntilMillis = nowMillis + Math.min(MAX_HOLD_MILLIS, BASE_HOLD_MILLIS << mStrikes);
-        mStrikes = Math.min(MAX_STRIKES, mStrikes + 1);
-        mRequests = 0;
-        mNats = 0;
+    private void startEjectionTime(long nowMillis) {
+        mProbeFromMillis =
+                nowMillis
+                        + Math.min(
+                                MAX_EJECTION_MILLIS, BASE_EJECTION_MILLIS << mConsecutiveEjections);
+        mConsecutiveEjections = Math.min(MAX_CONSECUTIVE_EJECTIONS, mConsecutiveEjections + 1);
+        mProbes = 0;
+        mHealthyNats = 0;
     }
 
     /** Takes in a request that tried the target, with its score for being sick. */
-    void tried(double sickNats, long nowMillis) {
-        if (!isTrying(nowMillis)) {
+    void recordProbe(double sickNats, long nowMillis) {
+        if (!isProbing(nowMillis)) {
             return;
         }
-        mRequests++;
-        mNats -= sickNats;
-        if (mNats <= -RELAPSE_NATS) {
-            hold(nowMillis);
+        mProbes++;
+        mHealthyNats -= sickNats;
+        if (mHealthyNats <= -RELAPSE_NATS) {
+            startEjectionTime(nowMillis);
         }
     }
 
     /** Takes the target back without trial; the price of its ejections stays. */
-    void reset() {
-        mIsOut = false;
+    void cancelEjection() {
+        mIsEjected = false;
     }
 
     void readmit(long nowMillis) {
-        mIsOut = false;
-        mReturnedMillis = nowMillis;
+        mIsEjected = false;
+        mReadmittedMillis = nowMillis;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/RemoteEvidence.java
+++ b/src/main/java/org/apricotgauge/decision/detection/RemoteEvidence.java
@@ -18,36 +18,37 @@
     /** Remote entries that are listened to; more would cost memory and add little. */
     private static final int MAX_ENTRIES = 8;
 
-    private static final long IDLE_MILLIS = 60_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 60_000;
 
     private DetectionOdds mOdds;
-    private final EvidenceView mGuards;
-    private final Map<String, EvidenceDigest> mLast = new HashMap<>();
-    private final Map<String, Long> mHeardMillis = new HashMap<>();
-    private final Map<String, EvidenceView> mEntries = new LinkedHashMap<>();
+    private final EvidenceView mGuardView;
+    private final Map<String, EvidenceDigest> mLastDigests = new HashMap<>();
+    private final Map<String, Long> mReceivedMillis = new HashMap<>();
+    private final Map<String, EvidenceView> mEntryViews = new LinkedHashMap<>();
 
     RemoteEvidence(DetectionOdds odds, EvidenceView guards) {
         mOdds = odds;
-        mGuards = guards;
+        mGuardView = guards;
     }
 
     /** A receiver of the counts that a digest adds. */
     @FunctionalInterface
-    interface GuardListener {
-        void added(String targetId, int[] counts);
+    interface GuardCountsListener {
+        void countsAdded(String targetId, int[] counts);
     }
 
-    void merge(String reporter, EvidenceDigest digest, long nowMillis, GuardListener listener) {
+    void merge(
+            String reporter, EvidenceDigest digest, long nowMillis, GuardCountsListener listener) {
         if (digest.formatVersion() != EvidenceDigest.FORMAT_VERSION) {
             return;
         }
-        EvidenceDigest last = mLast.get(reporter);
+        EvidenceDigest last = mLastDigests.get(reporter);
         if (last != null && !isNewer(digest, last)) {
             return;
         }
-        mLast.put(reporter, digest);
-        mHeardMillis.put(reporter, nowMillis);
-        forgetIdle(nowMillis);
+        mLastDigests.put(reporter, digest);
+        mReceivedMillis.put(reporter, nowMillis);
+        removeIdle(nowMillis);
         if (last == null) {
             // A first digest holds the counts of hours, in no order: it sets where to count from.
             return;
@@ -80,7 +81,7 @@
             EvidenceDigest.TargetEvidence now,
             EvidenceDigest.TargetEvidence before,
             long nowMillis,
-            GuardListener listener) {
+            GuardCountsListener listener) {
         if (now.guard() == null) {
             return;
         }
@@ -88,8 +89,8 @@
         if (isEmpty(counts)) {
             return;
         }
-        mGuards.addBatch(now.targetId(), counts, nowMillis);
-        listener.added(now.targetId(), counts);
+        mGuardView.addBatch(now.targetId(), counts, nowMillis);
+        listener.countsAdded(now.targetId(), counts);
     }
 
     private void addEntry(
@@ -100,18 +101,19 @@
         if (now.entry() == null) {
             return;
         }
-        if (!mEntries.containsKey(reporter) && mEntries.size() >= MAX_ENTRIES) {
+        if (!mEntryViews.containsKey(reporter) && mEntryViews.size() >= MAX_ENTRIES) {
             return;
         }
         int[] counts = difference(now.entry(), before == null ? null : before.entry());
         if (!isEmpty(counts)) {
-            mEntries.computeIfAbsent(reporter, any -> new EvidenceView(mOdds))
+            mEntryViews
+                    .computeIfAbsent(reporter, any -> new EvidenceView(mOdds))
                     .addBatch(now.targetId(), counts, nowMillis);
         }
     }
 
     private static int[] difference(
-            EvidenceDigest.EndEvidence now, EvidenceDigest.EndEvidence before) {
+            EvidenceDigest.EvidenceCounts now, EvidenceDigest.EvidenceCounts before) {
         int[] counts = new int[Category.COUNT];
         add(counts, now, 1);
         if (before != null) {
@@ -123,7 +125,7 @@
         return counts;
     }
 
-    private static void add(int[] counts, EvidenceDigest.EndEvidence evidence, int sign) {
+    private static void add(int[] counts, EvidenceDigest.EvidenceCounts evidence, int sign) {
         for (int i = 0; i < evidence.latencyCounts().size(); i++) {
             counts[evidence.firstBin() + i] += sign * evidence.latencyCounts().get(i).intValue();
         }
@@ -139,17 +141,17 @@
         return true;
     }
 
-    private void forgetIdle(long nowMillis) {
-        mHeardMillis.values().removeIf(heard -> nowMillis - heard > IDLE_MILLIS);
-        mLast.keySet().retainAll(mHeardMillis.keySet());
-        mEntries.keySet().retainAll(mHeardMillis.keySet());
+    private void removeIdle(long nowMillis) {
+        mReceivedMillis.values().removeIf(heard -> nowMillis - heard > IDLE_TIMEOUT_MILLIS);
+        mLastDigests.keySet().retainAll(mReceivedMillis.keySet());
+        mEntryViews.keySet().retainAll(mReceivedMillis.keySet());
     }
 
     /** Returns what the remote entries together hold against a target. */
-    Finding quorum(String targetId, double thresholdNats) {
+    Finding quorumFinding(String targetId, double thresholdNats) {
         double sum = 0;
         Finding strongest = Finding.none(thresholdNats);
-        for (EvidenceView view : mEntries.values()) {
+        for (EvidenceView view : mEntryViews.values()) {
             Finding finding = view.finding(targetId);
             sum += finding.nats();
             strongest = finding.nats() > strongest.nats() ? finding : strongest;
@@ -160,15 +162,15 @@
 
     void setOdds(DetectionOdds odds) {
         mOdds = odds;
-        mEntries.values().forEach(view -> view.setOdds(odds));
+        mEntryViews.values().forEach(view -> view.setOdds(odds));
     }
 
     void retain(Set<String> targetIds) {
-        mEntries.values().forEach(view -> view.retain(targetIds));
+        mEntryViews.values().forEach(view -> view.retain(targetIds));
     }
 
     /** Does something to every remote entry's stream of a target. */
     void forEachView(Consumer<EvidenceView> action) {
-        mEntries.values().forEach(action);
+        mEntryViews.values().forEach(action);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/ScoreTable.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ScoreTable.java
@@ -6,13 +6,13 @@
  * <p>A ratio is clipped: one request never decides, however strange it is to the baseline.
  */
 final class ScoreTable {
-    static final int TESTS = Alternative.ALL.size();
+    static final int TESTS = AlternativeHypothesis.ALL.size();
 
     private static final double MAX_NATS = 7.4;
     private static final double MIN_NATS = -4;
 
     private final double[][] mNats = new double[Category.COUNT][TESTS];
-    private final double[] mPool;
+    private final double[] mBaseline;
 
     /**
      * Works the table out.
@@ -21,11 +21,11 @@
      * @param withSlowness whether the baseline holds enough service times to test for slowness
      */
     ScoreTable(double[] pool, boolean withSlowness) {
-        mPool = pool;
+        mBaseline = pool;
         for (int test = 0; test < TESTS; test++) {
-            Alternative alternative = Alternative.ALL.get(test);
-            double[] sick = alternative.law().sick(pool);
-            if (alternative.kind() == Alternative.Kind.SLOWNESS && !withSlowness) {
+            AlternativeHypothesis alternative = AlternativeHypothesis.ALL.get(test);
+            double[] sick = alternative.transform().apply(pool);
+            if (alternative.kind() == AlternativeHypothesis.Kind.SLOWNESS && !withSlowness) {
                 continue;
             }
             for (int category = 0; category < Category.COUNT; category++) {
@@ -48,7 +48,7 @@
     double suspectShare(int test) {
         double share = 0;
         for (int category = 0; category < Category.COUNT; category++) {
-            share += isSuspect(test, category) ? mPool[category] : 0;
+            share += isSuspect(test, category) ? mBaseline[category] : 0;
         }
         return share;
     }
--- a/src/main/java/org/apricotgauge/decision/detection/ServiceDetector.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ServiceDetector.java
@@ -28,29 +28,29 @@
  * entries' evidence only by quorum, and only for a target without a guard.
  *
  * <p>All methods may be called by any thread; they lock the detector for well under a millisecond.
- * Readers on a request's path read the published {@link Verdicts} and never lock.
+ * Readers on a request's path read the published {@link EjectionVerdicts} and never lock.
  */
 public final class ServiceDetector {
-    private static final long OVERDUE_FACTOR = 2;
-    private static final long GUARD_FRESH_MILLIS = 30_000;
+    private static final long UNRESPONSIVE_FACTOR = 2;
+    private static final long MAX_EVIDENCE_AGE_MILLIS = 30_000;
 
     /** A probe costs about 25 ms of a slot: one each 250 ms takes a tenth of one slot. */
     private static final long PROBE_INTERVAL_MILLIS = 250;
 
     /** How much worse than an ejected target one in service must be, to be ejected in its place. */
-    private static final double EXCHANGE_RATIO = 1.5;
+    private static final double REPLACEMENT_RATIO = 1.5;
 
     /** While all targets look sick at once, each request would call for a decision. */
-    private static final long MIN_DECIDE_MILLIS = 10;
+    private static final long MIN_DECISION_INTERVAL_MILLIS = 10;
 
     private Service mService;
     private final long mIncarnation;
-    private final EvidenceView mGuards;
-    private final EvidenceView mOwnEntry;
+    private final EvidenceView mGuardView;
+    private final EvidenceView mLocalEntryView;
     private final RemoteEvidence mRemote;
-    private final Map<String, Standing> mStandings = new LinkedHashMap<>();
-    private final Map<String, OwnCounts> mOwnGuardCounts = new LinkedHashMap<>();
-    private final Map<String, OwnCounts> mOwnEntryCounts = new LinkedHashMap<>();
+    private final Map<String, TargetState> mTargetStates = new LinkedHashMap<>();
+    private final Map<String, LocalCounts> mLocalGuardCounts = new LinkedHashMap<>();
+    private final Map<String, LocalCounts> mLocalEntryCounts = new LinkedHashMap<>();
     private long mSequence;
     private long mDecidedMillis = Long.MIN_VALUE / 2;
     private long mProbedMillis = Long.MIN_VALUE / 2;
@@ -64,9 +64,9 @@
     public ServiceDetector(Service service, long incarnation) {
         mService = Checks.notNull("service", service);
         mIncarnation = incarnation;
-        mGuards = new EvidenceView(service.detection());
-        mOwnEntry = new EvidenceView(service.detection());
-        mRemote = new RemoteEvidence(service.detection(), mGuards);
+        mGuardView = new EvidenceView(service.detection());
+        mLocalEntryView = new EvidenceView(service.detection());
+        mRemote = new RemoteEvidence(service.detection(), mGuardView);
     }
 
     /**
@@ -77,22 +77,22 @@
      */
     public synchronized boolean observe(Observation observation) {
         Checks.notNull("observation", observation);
-        boolean isGuard = observation.end() == ObservationEnd.GUARD;
+        boolean isGuard = observation.point() == ObservationPoint.GUARD;
         String targetId = observation.targetId();
-        Map<String, OwnCounts> counts = isGuard ? mOwnGuardCounts : mOwnEntryCounts;
-        counts.computeIfAbsent(targetId, any -> new OwnCounts()).add(observation);
+        Map<String, LocalCounts> counts = isGuard ? mLocalGuardCounts : mLocalEntryCounts;
+        counts.computeIfAbsent(targetId, any -> new LocalCounts()).add(observation);
         int category = Category.of(observation);
         if (category == Category.NONE) {
             return false;
         }
-        Standing standing = mStandings.get(targetId);
+        TargetState standing = mTargetStates.get(targetId);
         if (category == Category.FAILURE && standing != null) {
-            standing.failingKey().failed(observation.keyHash());
+            standing.failureKey().recordFailure(observation.keyHash());
         }
-        EvidenceView view = isGuard ? mGuards : mOwnEntry;
+        EvidenceView view = isGuard ? mGuardView : mLocalEntryView;
         boolean isCrossed = view.add(targetId, category, observation.timeMillis());
-        boolean isPassed = tried(view, targetId, category, 1, observation.timeMillis());
-        boolean isFresh = observation.timeMillis() - mDecidedMillis < MIN_DECIDE_MILLIS;
+        boolean isPassed = recordProbe(view, targetId, category, 1, observation.timeMillis());
+        boolean isFresh = observation.timeMillis() - mDecidedMillis < MIN_DECISION_INTERVAL_MILLIS;
         return (isPassed || isCrossed) && !isFresh;
     }
 
@@ -102,29 +102,30 @@
      */
     public synchronized void update(Service service) {
         mService = Checks.notNull("service", service);
-        mGuards.setOdds(service.detection());
-        mOwnEntry.setOdds(service.detection());
+        mGuardView.setOdds(service.detection());
+        mLocalEntryView.setOdds(service.detection());
         mRemote.setOdds(service.detection());
     }
 
     /**
      * Returns the service time after which a request should be observed as {@link
-     * ObservedOutcome#OVERDUE} though it still runs, or {@link Long#MAX_VALUE} while unknown.
+     * ObservedOutcome#UNRESPONSIVE} though it still runs, or {@link Long#MAX_VALUE} while unknown.
      *
      * <p>A target that hangs answers nothing, so that all its evidence would come at the requests'
      * deadlines. Twice the time that all but one in a thousand keep is rare enough that its bin
      * speaks as clearly as a far longer time would.
      */
-    public synchronized long overdueMicros(ObservationEnd end) {
-        long highMicros = (end == ObservationEnd.GUARD ? mGuards : mOwnEntry).highMicros();
-        return highMicros == Long.MAX_VALUE ? highMicros : OVERDUE_FACTOR * highMicros;
+    public synchronized long unresponsiveAfterMicros(ObservationPoint end) {
+        long highMicros =
+                (end == ObservationPoint.GUARD ? mGuardView : mLocalEntryView).p999Micros();
+        return highMicros == Long.MAX_VALUE ? highMicros : UNRESPONSIVE_FACTOR * highMicros;
     }
 
     /** Returns this node's own evidence, to be sent to the other nodes of the service. */
     public synchronized EvidenceDigest digest() {
         mSequence++;
-        Set<String> ids = new HashSet<>(mOwnGuardCounts.keySet());
-        ids.addAll(mOwnEntryCounts.keySet());
+        Set<String> ids = new HashSet<>(mLocalGuardCounts.keySet());
+        ids.addAll(mLocalEntryCounts.keySet());
         List<EvidenceDigest.TargetEvidence> targets = new ArrayList<>();
         ids.stream()
                 .sorted()
@@ -133,12 +134,12 @@
                                 targets.add(
                                         new EvidenceDigest.TargetEvidence(
                                                 id,
-                                                evidence(mOwnGuardCounts.get(id)),
-                                                evidence(mOwnEntryCounts.get(id)))));
+                                                evidence(mLocalGuardCounts.get(id)),
+                                                evidence(mLocalEntryCounts.get(id)))));
         return new EvidenceDigest(EvidenceDigest.FORMAT_VERSION, mIncarnation, mSequence, targets);
     }
 
-    private static EvidenceDigest.EndEvidence evidence(OwnCounts counts) {
+    private static EvidenceDigest.EvidenceCounts evidence(LocalCounts counts) {
         return counts == null ? null : counts.evidence();
     }
 
@@ -160,33 +161,34 @@
                 (targetId, counts) -> {
                     for (int category = 0; category < counts.length; category++) {
                         if (counts[category] > 0) {
-                            tried(mGuards, targetId, category, counts[category], nowMillis);
+                            recordProbe(
+                                    mGuardView, targetId, category, counts[category], nowMillis);
                         }
                     }
                 });
     }
 
     /** Hands a request that tried an ejected target to its readmission; returns if that passed. */
-    private boolean tried(
+    private boolean recordProbe(
             EvidenceView view, String targetId, int category, int count, long nowMillis) {
-        Standing standing = mStandings.get(targetId);
-        if (standing == null || !standing.readmission().isTrying(nowMillis)) {
+        TargetState standing = mTargetStates.get(targetId);
+        if (standing == null || !standing.readmission().isProbing(nowMillis)) {
             return false;
         }
-        Standing.Evidence evidence = standing.evidence();
-        if (evidence.view() != view && !isSilent(evidence.view(), targetId, nowMillis)) {
+        TargetState.Evidence evidence = standing.evidence();
+        if (evidence.view() != view && !isStale(evidence.view(), targetId, nowMillis)) {
             return false;
         }
         double score = view.stream(targetId).score(evidence.finding().test(), category);
         for (int i = 0; i < count; i++) {
-            standing.readmission().tried(score, nowMillis);
+            standing.readmission().recordProbe(score, nowMillis);
         }
         return standing.readmission().isPassed(nowMillis);
     }
 
-    private static boolean isSilent(EvidenceView view, String targetId, long nowMillis) {
+    private static boolean isStale(EvidenceView view, String targetId, long nowMillis) {
         TargetStream stream = view.stream(targetId);
-        return stream == null || nowMillis - stream.lastMillis() > GUARD_FRESH_MILLIS;
+        return stream == null || nowMillis - stream.lastMillis() > MAX_EVIDENCE_AGE_MILLIS;
     }
 
     /**
@@ -197,90 +199,93 @@
      * @throws IllegalStateException if an ejection would break the floor, which a fault of this
      *     class alone can bring about
      */
-    public synchronized Verdicts decide(long nowMillis, Membership membership) {
+    public synchronized EjectionVerdicts decide(long nowMillis, ConfiguredTargets membership) {
         Checks.notNull("membership", membership);
         mDecidedMillis = nowMillis;
         int floorSlots = mService.floorSlots(membership.configuredSlots());
-        follow(membership);
+        updateTargets(membership);
         List<FloorPolicy.Candidate> candidates = new ArrayList<>();
-        for (Standing standing : mStandings.values()) {
-            weigh(standing, nowMillis);
+        for (TargetState standing : mTargetStates.values()) {
+            updateEvidence(standing, nowMillis);
             if (standing.isCandidate()) {
                 candidates.add(candidate(standing));
             }
         }
-        Set<String> ejected = FloorPolicy.choose(candidates, membership, floorSlots);
-        Map<String, Verdict> verdicts = new HashMap<>();
-        for (Standing standing : mStandings.values()) {
-            settle(standing, ejected.contains(standing.targetId()), nowMillis);
+        Set<String> ejected = FloorPolicy.selectEjections(candidates, membership, floorSlots);
+        Map<String, EjectionVerdict> verdicts = new HashMap<>();
+        for (TargetState standing : mTargetStates.values()) {
+            applyDecision(standing, ejected.contains(standing.targetId()), nowMillis);
             verdicts.put(standing.targetId(), VerdictFactory.verdict(standing, nowMillis));
         }
         int eligibleSlots = FloorPolicy.eligibleSlots(verdicts, membership, floorSlots);
-        return new Verdicts(nowMillis, verdicts, floorSlots, eligibleSlots, probesDue(nowMillis));
+        return new EjectionVerdicts(
+                nowMillis, verdicts, floorSlots, eligibleSlots, probesDue(nowMillis));
     }
 
-    private void follow(Membership membership) {
+    private void updateTargets(ConfiguredTargets membership) {
         Set<String> ids = new HashSet<>();
-        for (Membership.Entry entry : membership.entries()) {
+        for (ConfiguredTargets.ConfiguredTarget entry : membership.targets()) {
             ids.add(entry.targetId());
-            Standing standing =
-                    mStandings.computeIfAbsent(entry.targetId(), id -> new Standing(id));
+            TargetState standing =
+                    mTargetStates.computeIfAbsent(entry.targetId(), id -> new TargetState(id));
             if (standing.presence() != entry.presence()) {
                 changePresence(standing, entry.presence());
             }
         }
-        if (mStandings.keySet().retainAll(ids)) {
-            mGuards.retain(ids);
-            mOwnEntry.retain(ids);
+        if (mTargetStates.keySet().retainAll(ids)) {
+            mGuardView.retain(ids);
+            mLocalEntryView.retain(ids);
             mRemote.retain(ids);
-            mOwnGuardCounts.keySet().retainAll(ids);
-            mOwnEntryCounts.keySet().retainAll(ids);
+            mLocalGuardCounts.keySet().retainAll(ids);
+            mLocalEntryCounts.keySet().retainAll(ids);
         }
     }
 
     /** Forgets the evidence against a target that dies or starts: what comes is a new process. */
-    private void changePresence(Standing standing, TargetPresence presence) {
+    private void changePresence(TargetState standing, TargetPresence presence) {
         standing.setPresence(presence);
-        if (presence == TargetPresence.DEAD || presence == TargetPresence.RAMPING) {
+        if (presence == TargetPresence.TERMINATED || presence == TargetPresence.RAMPING) {
             forEachStream(standing.targetId(), TargetStream::clear);
-            standing.readmission().reset();
+            standing.readmission().cancelEjection();
         }
     }
 
-    private void weigh(Standing standing, long nowMillis) {
+    private void updateEvidence(TargetState standing, long nowMillis) {
         if (standing.readmission().isPassed(nowMillis)) {
             standing.readmit(nowMillis);
             forEachStream(standing.targetId(), TargetStream::clearTests);
         }
         String id = standing.targetId();
-        Finding guards = mGuards.finding(id);
-        Finding entry = mOwnEntry.finding(id);
-        Standing.Evidence strongest =
-                new Standing.Evidence(mGuards, VerdictScope.TARGET, "beside the target", guards);
-        if (isSilent(mGuards, id, nowMillis)) {
-            Finding quorum = mRemote.quorum(id, mGuards.thresholdNats());
-            if (quorum.share() > guards.share()) {
+        Finding guards = mGuardView.finding(id);
+        Finding entry = mLocalEntryView.finding(id);
+        TargetState.Evidence strongest =
+                new TargetState.Evidence(
+                        mGuardView, VerdictScope.TARGET, "beside the target", guards);
+        if (isStale(mGuardView, id, nowMillis)) {
+            Finding quorum = mRemote.quorumFinding(id, mGuardView.thresholdNats());
+            if (quorum.thresholdRatio() > guards.thresholdRatio()) {
                 strongest =
-                        new Standing.Evidence(
-                                mOwnEntry, VerdictScope.TARGET, "several entries", quorum);
+                        new TargetState.Evidence(
+                                mLocalEntryView, VerdictScope.TARGET, "several entries", quorum);
             }
         }
-        if (entry.share() > strongest.finding().share()) {
+        if (entry.thresholdRatio() > strongest.finding().thresholdRatio()) {
             strongest =
-                    new Standing.Evidence(mOwnEntry, VerdictScope.PATH, "from this entry", entry);
+                    new TargetState.Evidence(
+                            mLocalEntryView, VerdictScope.PATH, "from this entry", entry);
         }
         standing.setEvidence(strongest);
     }
 
-    private static FloorPolicy.Candidate candidate(Standing standing) {
+    private static FloorPolicy.Candidate candidate(TargetState standing) {
         double severity = standing.evidence().finding().natsPerSample();
         return new FloorPolicy.Candidate(
                 standing.targetId(),
-                standing.readmission().isOut() ? severity * EXCHANGE_RATIO : severity);
+                standing.readmission().isEjected() ? severity * REPLACEMENT_RATIO : severity);
     }
 
-    private void settle(Standing standing, boolean isEjected, long nowMillis) {
-        boolean wasOut = standing.readmission().isOut();
+    private void applyDecision(TargetState standing, boolean isEjected, long nowMillis) {
+        boolean wasOut = standing.readmission().isEjected();
         if (isEjected && !wasOut) {
             standing.eject(nowMillis);
         }
@@ -289,18 +294,18 @@
             standing.readmit(nowMillis);
         }
         TargetStream.Mode mode = mode(standing);
-        mGuards.setMode(standing.targetId(), mode);
-        mOwnEntry.setMode(standing.targetId(), mode);
+        mGuardView.setMode(standing.targetId(), mode);
+        mLocalEntryView.setMode(standing.targetId(), mode);
         mRemote.forEachView(view -> view.setMode(standing.targetId(), mode));
     }
 
-    private static TargetStream.Mode mode(Standing standing) {
+    private static TargetStream.Mode mode(TargetState standing) {
         boolean isMissing = standing.presence() != TargetPresence.PRESENT;
-        if (isMissing || standing.readmission().isOut()) {
-            return TargetStream.Mode.OUT;
+        if (isMissing || standing.readmission().isEjected()) {
+            return TargetStream.Mode.EXCLUDED;
         }
         return standing.evidence().finding().isAlarm()
-                ? TargetStream.Mode.HELD
+                ? TargetStream.Mode.KEPT_BY_FLOOR
                 : TargetStream.Mode.TESTED;
     }
 
@@ -312,8 +317,8 @@
                         action.accept(stream);
                     }
                 };
-        inView.accept(mGuards);
-        inView.accept(mOwnEntry);
+        inView.accept(mGuardView);
+        inView.accept(mLocalEntryView);
         mRemote.forEachView(inView);
     }
 
@@ -322,16 +327,16 @@
         if (nowMillis - mProbedMillis < PROBE_INTERVAL_MILLIS) {
             return List.of();
         }
-        return mStandings.values().stream()
+        return mTargetStates.values().stream()
                 .filter(standing -> standing.presence() == TargetPresence.PRESENT)
-                .filter(standing -> standing.readmission().isTrying(nowMillis))
-                .min(Comparator.comparingLong(Standing::probedMillis))
-                .map(standing -> probe(standing, nowMillis))
+                .filter(standing -> standing.readmission().isProbing(nowMillis))
+                .min(Comparator.comparingLong(TargetState::probedMillis))
+                .map(standing -> startProbe(standing, nowMillis))
                 .map(List::of)
                 .orElse(List.of());
     }
 
-    private String probe(Standing standing, long nowMillis) {
+    private String startProbe(TargetState standing, long nowMillis) {
         mProbedMillis = nowMillis;
         standing.setProbedMillis(nowMillis);
         return standing.targetId();
--- a/src/main/java/org/apricotgauge/decision/detection/TargetPresence.java
+++ b/src/main/java/org/apricotgauge/decision/detection/TargetPresence.java
@@ -9,5 +9,5 @@
     /** Drains; takes no new work. */
     LEAVING,
     /** Gone. */
-    DEAD
+    TERMINATED
 }
--- a/src/main/java/org/apricotgauge/decision/detection/Standing.java
+++ b/src/main/java/org/apricotgauge/decision/detection/TargetState.java
@@ -1,17 +1,17 @@
 package org.apricotgauge.decision.detection;
 
 /** What the detector remembers of one target between decisions. */
-final class Standing {
+final class TargetState {
     private final String mTargetId;
     private final Readmission mReadmission = new Readmission();
-    private final FailingKey mFailingKey = new FailingKey();
+    private final DominantFailureKey mFailureKey = new DominantFailureKey();
     private TargetPresence mPresence = TargetPresence.PRESENT;
     private Evidence mEvidence;
-    private Evidence mEjectedFor;
+    private Evidence mEjectionEvidence;
     private long mProbedMillis;
     private long mReadmittedMillis = Long.MIN_VALUE;
 
-    Standing(String targetId) {
+    TargetState(String targetId) {
         mTargetId = targetId;
     }
 
@@ -30,8 +30,8 @@
         return mReadmission;
     }
 
-    FailingKey failingKey() {
-        return mFailingKey;
+    DominantFailureKey failureKey() {
+        return mFailureKey;
     }
 
     TargetPresence presence() {
@@ -43,7 +43,7 @@
     }
 
     Evidence evidence() {
-        return mReadmission.isOut() ? mEjectedFor : mEvidence;
+        return mReadmission.isEjected() ? mEjectionEvidence : mEvidence;
     }
 
     void setEvidence(Evidence evidence) {
@@ -51,17 +51,17 @@
     }
 
     boolean isCandidate() {
-        return mReadmission.isOut() || mEvidence.finding().isAlarm();
+        return mReadmission.isEjected() || mEvidence.finding().isAlarm();
     }
 
     void eject(long nowMillis) {
-        mEjectedFor = mEvidence;
+        mEjectionEvidence = mEvidence;
         mReadmission.eject(nowMillis);
     }
 
     void readmit(long nowMillis) {
         mReadmission.readmit(nowMillis);
-        mFailingKey.clear();
+        mFailureKey.clear();
         mReadmittedMillis = nowMillis;
     }
 
--- a/src/main/java/org/apricotgauge/decision/detection/TargetStream.java
+++ b/src/main/java/org/apricotgauge/decision/detection/TargetStream.java
@@ -11,28 +11,28 @@
  */
 final class TargetStream {
     /** How many of the last samples are kept one by one. */
-    static final int LAST_SAMPLES = 512;
+    static final int RECENT_SAMPLES = 512;
 
     private static final int REBASE_SAMPLES = 32;
-    private static final double HISTORY_SAMPLES = 8_192;
+    private static final double MAX_HISTORY_SAMPLES = 8_192;
 
     /** What a target's samples are used for. */
     enum Mode {
         /** In service: it is tested, and its fellows are compared with it. */
         TESTED,
         /** Kept in service by the floor alone: it is tested, but no fellow is compared with it. */
-        HELD,
+        KEPT_BY_FLOOR,
         /** Out of service or in its cold start: neither. */
-        OUT
+        EXCLUDED
     }
 
     private final String mTargetId;
     private final double[] mHistory = new double[Category.COUNT];
     private final int[] mTotals = new int[Category.COUNT];
-    private final int[][] mAnchors = new int[ScoreTable.TESTS][Category.COUNT];
-    private final long[] mPoolAnchors = new long[ScoreTable.TESTS];
+    private final int[][] mTotalsAtRise = new int[ScoreTable.TESTS][Category.COUNT];
+    private final long[] mPoolSamplesAtRise = new long[ScoreTable.TESTS];
     private final double[] mNats = new double[ScoreTable.TESTS];
-    private final byte[] mLast = new byte[LAST_SAMPLES];
+    private final byte[] mRecent = new byte[RECENT_SAMPLES];
     private ScoreTable mScores;
     private double mHistorySamples;
     private long mSamples;
@@ -63,7 +63,7 @@
         return mMode == Mode.TESTED;
     }
 
-    boolean isCompared() {
+    boolean isInBaseline() {
         return mMode == Mode.TESTED && mSamples > 0;
     }
 
@@ -79,7 +79,7 @@
         return mHistorySamples;
     }
 
-    double suspicion() {
+    double maxNats() {
         return mMaxNats;
     }
 
@@ -95,8 +95,8 @@
     /** Takes in one sample; the pool's samples are those of all targets up to it. */
     void add(int category, long poolSamples, long nowMillis) {
         mLastMillis = nowMillis;
-        if (mMode != Mode.OUT) {
-            addToTests(mScores.nats(category), poolSamples);
+        if (mMode != Mode.EXCLUDED) {
+            updateTests(mScores.nats(category), poolSamples);
         }
         addToTotals(category, 1);
     }
@@ -109,7 +109,7 @@
      */
     void addBatch(int[] counts, long poolSamples, long nowMillis) {
         mLastMillis = nowMillis;
-        if (mMode != Mode.OUT) {
+        if (mMode != Mode.EXCLUDED) {
             double[] scores = new double[ScoreTable.TESTS];
             for (int category = 0; category < counts.length; category++) {
                 double[] nats = mScores.nats(category);
@@ -117,21 +117,21 @@
                     scores[test] += counts[category] * nats[test];
                 }
             }
-            addToTests(scores, poolSamples);
+            updateTests(scores, poolSamples);
         }
         for (int category = 0; category < counts.length; category++) {
             addToTotals(category, counts[category]);
         }
     }
 
-    private void addToTests(double[] scores, long poolSamples) {
+    private void updateTests(double[] scores, long poolSamples) {
         double max = 0;
         for (int test = 0; test < scores.length; test++) {
             double nats = mNats[test];
             double score = scores[test];
             if (nats == 0 && score > 0) {
-                System.arraycopy(mTotals, 0, mAnchors[test], 0, Category.COUNT);
-                mPoolAnchors[test] = poolSamples;
+                System.arraycopy(mTotals, 0, mTotalsAtRise[test], 0, Category.COUNT);
+                mPoolSamplesAtRise[test] = poolSamples;
             }
             nats = Math.max(0, nats + score);
             mNats[test] = nats;
@@ -145,8 +145,8 @@
             addToHistory(category, count);
         }
         mTotals[category] += count;
-        for (int i = 0; i < Math.min(count, LAST_SAMPLES); i++) {
-            mLast[(int) ((mSamples + i) % LAST_SAMPLES)] = (byte) category;
+        for (int i = 0; i < Math.min(count, RECENT_SAMPLES); i++) {
+            mRecent[(int) ((mSamples + i) % RECENT_SAMPLES)] = (byte) category;
         }
         mSamples += count;
     }
@@ -154,7 +154,7 @@
     private void addToHistory(int category, int count) {
         mHistory[category] += count;
         mHistorySamples += count;
-        if (mHistorySamples > HISTORY_SAMPLES) {
+        if (mHistorySamples > MAX_HISTORY_SAMPLES) {
             for (int i = 0; i < mHistory.length; i++) {
                 mHistory[i] /= 2;
             }
@@ -171,32 +171,32 @@
     int samplesSinceRise(int test) {
         int samples = 0;
         for (int category = 0; category < Category.COUNT; category++) {
-            samples += mTotals[category] - mAnchors[test][category];
+            samples += mTotals[category] - mTotalsAtRise[test][category];
         }
         return samples;
     }
 
     /** Returns how many samples the pool had when a test began to rise. */
     long poolSamplesAtRise(int test) {
-        return mPoolAnchors[test];
+        return mPoolSamplesAtRise[test];
     }
 
     /** Returns how many of the samples since a test began to rise speak for its alternative. */
-    int suspectSinceRise(int test) {
+    int suspectSamplesSinceRise(int test) {
         int samples = 0;
         for (int category = 0; category < Category.COUNT; category++) {
             if (mScores.isSuspect(test, category)) {
-                samples += mTotals[category] - mAnchors[test][category];
+                samples += mTotals[category] - mTotalsAtRise[test][category];
             }
         }
         return samples;
     }
 
     /** Adds the counts of the last samples, by category. */
-    void addLastTo(int[] counts, int samples) {
+    void addRecentTo(int[] counts, int samples) {
         int taken = (int) Math.min(samples, mSamples);
         for (int i = 1; i <= taken; i++) {
-            counts[mLast[(int) ((mSamples - i) % LAST_SAMPLES)]]++;
+            counts[mRecent[(int) ((mSamples - i) % RECENT_SAMPLES)]]++;
         }
     }
 
@@ -223,7 +223,7 @@
     void rebase() {
         clearTests();
         int[] counts = new int[Category.COUNT];
-        addLastTo(counts, REBASE_SAMPLES);
+        addRecentTo(counts, REBASE_SAMPLES);
         Arrays.fill(mHistory, 0);
         mHistorySamples = 0;
         for (int category = 0; category < counts.length; category++) {
--- a/src/main/java/org/apricotgauge/decision/detection/VerdictFactory.java
+++ b/src/main/java/org/apricotgauge/decision/detection/VerdictFactory.java
@@ -8,20 +8,20 @@
  * decide. A target that only the floor keeps in service gets a tenth.
  */
 final class VerdictFactory {
-    private static final double SUSPECT_SHARE = 0.5;
+    private static final double SUSPECT_RATIO = 0.5;
     private static final double MIN_SUSPECT_WEIGHT = 0.8;
-    private static final double HELD_WEIGHT = 0.1;
-    private static final double FIRST_WEIGHT = 0.25;
+    private static final double KEPT_BY_FLOOR_WEIGHT = 0.1;
+    private static final double RAMP_START_WEIGHT = 0.25;
     private static final long RAMP_MILLIS = 10_000;
     private static final String NO_EVIDENCE = "no evidence";
 
     private VerdictFactory() {}
 
-    static Verdict verdict(Standing standing, long nowMillis) {
+    static EjectionVerdict verdict(TargetState standing, long nowMillis) {
         Finding finding = standing.evidence().finding();
         VerdictState state = state(standing, nowMillis);
         boolean isHeld = state == VerdictState.SUSPECT && finding.isAlarm();
-        return new Verdict(
+        return new EjectionVerdict(
                 standing.targetId(),
                 state,
                 weight(standing, state, isHeld, nowMillis),
@@ -32,54 +32,56 @@
                 text(standing, state, isHeld));
     }
 
-    private static VerdictState state(Standing standing, long nowMillis) {
-        if (standing.readmission().isOut()) {
-            return standing.readmission().isTrying(nowMillis)
+    private static VerdictState state(TargetState standing, long nowMillis) {
+        if (standing.readmission().isEjected()) {
+            return standing.readmission().isProbing(nowMillis)
                     ? VerdictState.READMITTING
                     : VerdictState.EJECTED;
         }
-        return standing.evidence().finding().share() >= SUSPECT_SHARE
+        return standing.evidence().finding().thresholdRatio() >= SUSPECT_RATIO
                 ? VerdictState.SUSPECT
                 : VerdictState.HEALTHY;
     }
 
     private static double weight(
-            Standing standing, VerdictState state, boolean isHeld, long nowMillis) {
-        if (standing.readmission().isOut()) {
+            TargetState standing, VerdictState state, boolean isHeld, long nowMillis) {
+        if (standing.readmission().isEjected()) {
             return 0;
         }
         if (isHeld) {
-            return HELD_WEIGHT;
+            return KEPT_BY_FLOOR_WEIGHT;
         }
-        double ramp = ramp(standing, nowMillis);
+        double ramp = rampWeight(standing, nowMillis);
         if (state == VerdictState.HEALTHY) {
             return ramp;
         }
-        double over = (standing.evidence().finding().share() - SUSPECT_SHARE) / (1 - SUSPECT_SHARE);
+        double over =
+                (standing.evidence().finding().thresholdRatio() - SUSPECT_RATIO)
+                        / (1 - SUSPECT_RATIO);
         return ramp * (1 - over * (1 - MIN_SUSPECT_WEIGHT));
     }
 
-    private static double ramp(Standing standing, long nowMillis) {
+    private static double rampWeight(TargetState standing, long nowMillis) {
         if (standing.readmittedMillis() == Long.MIN_VALUE) {
             return 1;
         }
         double done = (nowMillis - standing.readmittedMillis()) / (double) RAMP_MILLIS;
-        return Math.min(1, FIRST_WEIGHT + (1 - FIRST_WEIGHT) * done);
+        return Math.min(1, RAMP_START_WEIGHT + (1 - RAMP_START_WEIGHT) * done);
     }
 
-    private static String text(Standing standing, VerdictState state, boolean isHeld) {
+    private static String text(TargetState standing, VerdictState state, boolean isHeld) {
         if (state == VerdictState.HEALTHY) {
             return NO_EVIDENCE;
         }
         String text = standing.evidence().text();
-        if (standing.failingKey().isMost()) {
+        if (standing.failureKey().isDominant()) {
             text += "; most failures are of one route and member";
         }
         if (isHeld) {
             return text + "; kept in service by the floor";
         }
-        return standing.readmission().isOut()
-                ? text + "; ejections in a row: " + standing.readmission().strikes()
+        return standing.readmission().isEjected()
+                ? text + "; ejections in a row: " + standing.readmission().consecutiveEjections()
                 : text;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/effect/EffectPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/effect/EffectPolicy.java
@@ -21,26 +21,27 @@
     private static final int MIN_NODES = 3;
     private static final long MIN_REQUESTS = 100;
     // Student's t at 0.995 for 2, 3, ... degrees of freedom, then the normal's.
-    private static final double[] STUDENT = {
+    private static final double[] STUDENT_T = {
         9.925, 5.841, 4.604, 4.032, 3.707, 3.499, 3.355, 3.250, 3.169, 3.106, 3.055, 3.012, 2.977,
         2.947, 2.921, 2.898, 2.878, 2.861, 2.845, 2.831, 2.819, 2.807, 2.797, 2.787, 2.779, 2.771,
         2.763, 2.756, 2.750
     };
-    private static final double NORMAL = 2.750;
+    private static final double STUDENT_T_ABOVE_30 = 2.750;
 
     private EffectPolicy() {}
 
     /** Judges by the nodes that saw requests both before and after. */
-    public static Effect judge(List<NodeEffect> nodes) {
-        List<NodeEffect> both =
+    public static Effect evaluate(List<NodeOutcomes> nodes) {
+        List<NodeOutcomes> both =
                 nodes.stream()
                         .filter(node -> node.before().requests() > 0)
                         .filter(node -> node.after().requests() > 0)
                         .toList();
         OutcomeShare zero = new OutcomeShare(0, 0);
         OutcomeShare before =
-                both.stream().map(NodeEffect::before).reduce(zero, OutcomeShare::plus);
-        OutcomeShare after = both.stream().map(NodeEffect::after).reduce(zero, OutcomeShare::plus);
+                both.stream().map(NodeOutcomes::before).reduce(zero, OutcomeShare::plus);
+        OutcomeShare after =
+                both.stream().map(NodeOutcomes::after).reduce(zero, OutcomeShare::plus);
         if (both.size() < MIN_NODES) {
             String reason =
                     both.size() + " nodes saw requests before and after; needs " + MIN_NODES;
@@ -50,12 +51,14 @@
             String reason = "needs " + MIN_REQUESTS + " requests before and after";
             return new Effect(Effect.Verdict.UNDECIDED, before, after, reason);
         }
-        return test(both, before, after);
+        return compare(both, before, after);
     }
 
-    private static Effect test(List<NodeEffect> nodes, OutcomeShare before, OutcomeShare after) {
+    private static Effect compare(
+            List<NodeOutcomes> nodes, OutcomeShare before, OutcomeShare after) {
         double difference = after.share() - before.share();
-        double variance = Math.max(overNodes(nodes, before, after), binomial(before, after));
+        double variance =
+                Math.max(varianceOverNodes(nodes, before, after), binomialVariance(before, after));
         double deviations = variance > 0 ? difference / Math.sqrt(variance) : 0;
         double threshold = threshold(nodes.size());
         String reason =
@@ -75,10 +78,10 @@
         return new Effect(verdict, before, after, reason);
     }
 
-    private static double overNodes(
-            List<NodeEffect> nodes, OutcomeShare before, OutcomeShare after) {
+    private static double varianceOverNodes(
+            List<NodeOutcomes> nodes, OutcomeShare before, OutcomeShare after) {
         double sum = 0;
-        for (NodeEffect node : nodes) {
+        for (NodeOutcomes node : nodes) {
             double residual = residual(node.after(), after) - residual(node.before(), before);
             sum += residual * residual;
         }
@@ -89,13 +92,13 @@
         return (node.bad() - all.share() * node.requests()) / all.requests();
     }
 
-    private static double binomial(OutcomeShare before, OutcomeShare after) {
+    private static double binomialVariance(OutcomeShare before, OutcomeShare after) {
         double pooled = before.plus(after).share();
         return pooled * (1 - pooled) * (1.0 / before.requests() + 1.0 / after.requests());
     }
 
     private static double threshold(int nodes) {
         int index = nodes - MIN_NODES;
-        return index < STUDENT.length ? STUDENT[index] : NORMAL;
+        return index < STUDENT_T.length ? STUDENT_T[index] : STUDENT_T_ABOVE_30;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/effect/NodeEffect.java
+++ b/src/main/java/org/apricotgauge/decision/effect/NodeOutcomes.java
@@ -8,10 +8,10 @@
  * @param before while earlier versions were in force
  * @param after while the version or a later one was in force
  */
-public record NodeEffect(OutcomeShare before, OutcomeShare after) {
+public record NodeOutcomes(OutcomeShare before, OutcomeShare after) {
 
     /** Checks the parts. */
-    public NodeEffect {
+    public NodeOutcomes {
         Checks.notNull("before", before);
         Checks.notNull("after", after);
     }
--- a/src/main/java/org/apricotgauge/node/DetectionService.java
+++ b/src/main/java/org/apricotgauge/node/DetectionService.java
@@ -7,16 +7,16 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 import java.util.concurrent.Executor;
+import org.apricotgauge.decision.detection.ConfiguredTargets;
+import org.apricotgauge.decision.detection.EjectionVerdict;
+import org.apricotgauge.decision.detection.EjectionVerdicts;
 import org.apricotgauge.decision.detection.EvidenceDigest;
-import org.apricotgauge.decision.detection.Membership;
 import org.apricotgauge.decision.detection.Observation;
-import org.apricotgauge.decision.detection.ObservationEnd;
+import org.apricotgauge.decision.detection.ObservationPoint;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 import org.apricotgauge.decision.detection.ServiceDetector;
 import org.apricotgauge.decision.detection.TargetPresence;
-import org.apricotgauge.decision.detection.Verdict;
 import org.apricotgauge.decision.detection.VerdictState;
-import org.apricotgauge.decision.detection.Verdicts;
 import org.apricotgauge.model.Configuration;
 import org.apricotgauge.model.Service;
 import org.apricotgauge.model.Target;
@@ -34,7 +34,7 @@
     static final int MAX_DETECTORS = 256;
 
     private final ConcurrentMap<String, Entry> mDetectors = new ConcurrentHashMap<>();
-    private final ConcurrentMap<String, Verdicts> mLast = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, EjectionVerdicts> mLast = new ConcurrentHashMap<>();
     private final RoutingState mState;
     private final Ticker mTicker;
     private final long mIncarnation;
@@ -65,7 +65,7 @@
     @FunctionalInterface
     interface VerdictListener {
         /** Called for each decision that changed a state; {@code before} may be null. */
-        void decided(String service, Verdicts before, Verdicts after);
+        void decided(String service, EjectionVerdicts before, EjectionVerdicts after);
     }
 
     DetectionService(
@@ -81,7 +81,7 @@
         mExecutor = executor;
     }
 
-    void observed(Target target, ObservationEnd end, ObservedOutcome outcome, long micros) {
+    void observed(Target target, ObservationPoint end, ObservedOutcome outcome, long micros) {
         Service service = mState.table().configuration().service(target.service());
         if (service == null) {
             return;
@@ -127,7 +127,7 @@
     }
 
     /** Returns the last verdicts of a service; null if none were made. */
-    Verdicts verdictsOf(String service) {
+    EjectionVerdicts verdictsOf(String service) {
         return mLast.get(service);
     }
 
@@ -167,7 +167,7 @@
         mLast.remove(service);
     }
 
-    private static boolean isAmiss(Verdicts verdicts) {
+    private static boolean isAmiss(EjectionVerdicts verdicts) {
         return verdicts == null
                 || verdicts.byTarget().values().stream()
                         .anyMatch(one -> one.state() != VerdictState.HEALTHY);
@@ -200,31 +200,32 @@
         }
         entry.mNews = false;
         // Worked out at decisions, not for each request, which would wait for the detector's lock.
-        entry.mOverdueMicros = entry.mDetector.overdueMicros(ObservationEnd.GUARD);
-        Verdicts verdicts = entry.mDetector.decide(mTicker.millis(), membership(service));
-        Verdicts before = mLast.put(service, verdicts);
+        entry.mOverdueMicros = entry.mDetector.unresponsiveAfterMicros(ObservationPoint.GUARD);
+        EjectionVerdicts verdicts = entry.mDetector.decide(mTicker.millis(), membership(service));
+        EjectionVerdicts before = mLast.put(service, verdicts);
         if (before == null || !sameWeights(before, verdicts)) {
             mState.verdictsChanged(service, verdicts);
         }
         mListener.decided(service, before, verdicts);
     }
 
-    private Membership membership(String service) {
-        List<Membership.Entry> entries = new ArrayList<>();
+    private ConfiguredTargets membership(String service) {
+        List<ConfiguredTargets.ConfiguredTarget> entries = new ArrayList<>();
         for (Target target : mState.table().configuration().targetsOf(service)) {
             TargetPresence presence =
                     mState.isLeaving(target) ? TargetPresence.LEAVING : TargetPresence.PRESENT;
-            entries.add(new Membership.Entry(target.id(), target.slots(), presence));
+            entries.add(
+                    new ConfiguredTargets.ConfiguredTarget(target.id(), target.slots(), presence));
         }
-        return new Membership(entries);
+        return new ConfiguredTargets(entries);
     }
 
-    private static boolean sameWeights(Verdicts before, Verdicts after) {
+    private static boolean sameWeights(EjectionVerdicts before, EjectionVerdicts after) {
         if (!before.byTarget().keySet().equals(after.byTarget().keySet())) {
             return false;
         }
-        for (Map.Entry<String, Verdict> entry : after.byTarget().entrySet()) {
-            Verdict old = before.byTarget().get(entry.getKey());
+        for (Map.Entry<String, EjectionVerdict> entry : after.byTarget().entrySet()) {
+            EjectionVerdict old = before.byTarget().get(entry.getKey());
             if (old.state() != entry.getValue().state()
                     || old.weight() != entry.getValue().weight()) {
                 return false;
--- a/src/main/java/org/apricotgauge/node/EvidencePublisher.java
+++ b/src/main/java/org/apricotgauge/node/EvidencePublisher.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.apricotgauge.decision.detection.EjectionVerdict;
+import org.apricotgauge.decision.detection.EjectionVerdicts;
 import org.apricotgauge.decision.detection.EvidenceDigest;
-import org.apricotgauge.decision.detection.Verdict;
 import org.apricotgauge.decision.detection.VerdictState;
-import org.apricotgauge.decision.detection.Verdicts;
 import org.apricotgauge.decision.gossip.GossipItem;
 import org.apricotgauge.model.Target;
 import org.apricotgauge.time.Ticker;
@@ -50,10 +50,10 @@
     }
 
     /** Called after each decision, by one thread. */
-    void decided(String service, Verdicts verdicts, Channel channel) {
+    void decided(String service, EjectionVerdicts verdicts, Channel channel) {
         long nowMillis = mTicker.millis();
         List<EvidenceDigest> own = new ArrayList<>();
-        for (Verdict verdict : verdicts.byTarget().values()) {
+        for (EjectionVerdict verdict : verdicts.byTarget().values()) {
             Target target = mState.table().target(verdict.targetId());
             boolean ours = target != null && target.vm().equals(mVm);
             if (ours && isOutOrWas(verdict, nowMillis)) {
@@ -75,7 +75,7 @@
         publish(service, own.get(own.size() - 1), targets, channel);
     }
 
-    private boolean isOutOrWas(Verdict verdict, long nowMillis) {
+    private boolean isOutOrWas(EjectionVerdict verdict, long nowMillis) {
         if (verdict.state() != VerdictState.HEALTHY) {
             mOutMillis.put(verdict.targetId(), nowMillis);
             return true;
--- a/src/main/java/org/apricotgauge/node/Node.java
+++ b/src/main/java/org/apricotgauge/node/Node.java
@@ -16,7 +16,7 @@
 import org.apricotgauge.decision.attempt.AttemptLedger;
 import org.apricotgauge.decision.attempt.AttemptLimits;
 import org.apricotgauge.decision.attempt.KeyLimits;
-import org.apricotgauge.decision.detection.Verdicts;
+import org.apricotgauge.decision.detection.EjectionVerdicts;
 import org.apricotgauge.decision.routing.RoutingTable;
 import org.apricotgauge.event.NodeStarted;
 import org.apricotgauge.event.StopPhase;
@@ -328,7 +328,10 @@
     }
 
     private void decided(
-            VerdictRecorder recorder, String service, Verdicts before, Verdicts after) {
+            VerdictRecorder recorder,
+            String service,
+            EjectionVerdicts before,
+            EjectionVerdicts after) {
         recorder.record(service, before, after);
         mProbes.due(service, after.probesDue());
         mPublisher.decided(service, after, mControl::publishEvidence);
--- a/src/main/java/org/apricotgauge/node/NodeObserver.java
+++ b/src/main/java/org/apricotgauge/node/NodeObserver.java
@@ -7,7 +7,7 @@
 import org.apricotgauge.caller.EntryObserver;
 import org.apricotgauge.decision.attempt.FenceAnswer;
 import org.apricotgauge.decision.attempt.Outcome;
-import org.apricotgauge.decision.detection.ObservationEnd;
+import org.apricotgauge.decision.detection.ObservationPoint;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 import org.apricotgauge.decision.health.HealthOutlook;
 import org.apricotgauge.event.FenceResult;
@@ -66,12 +66,12 @@
 
     @Override
     public void attempted(Target target, ObservedOutcome outcome, long totalMicros) {
-        mDetection.observed(target, ObservationEnd.ENTRY, outcome, totalMicros);
+        mDetection.observed(target, ObservationPoint.ENTRY, outcome, totalMicros);
     }
 
     @Override
     public void observed(Target target, ObservedOutcome outcome, long serviceMicros) {
-        mDetection.observed(target, ObservationEnd.GUARD, outcome, serviceMicros);
+        mDetection.observed(target, ObservationPoint.GUARD, outcome, serviceMicros);
     }
 
     @Override
--- a/src/main/java/org/apricotgauge/node/NodeStatusSource.java
+++ b/src/main/java/org/apricotgauge/node/NodeStatusSource.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apricotgauge.cli.ProductVersion;
-import org.apricotgauge.decision.detection.Verdicts;
+import org.apricotgauge.decision.detection.EjectionVerdicts;
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.decision.routing.ServiceTable;
 import org.apricotgauge.model.Vm;
@@ -60,7 +60,7 @@
     private List<ServiceStatus> services() {
         List<ServiceStatus> services = new ArrayList<>();
         for (ServiceTable table : mState.table().services().values()) {
-            Verdicts verdicts = mDetection.verdictsOf(table.service().id());
+            EjectionVerdicts verdicts = mDetection.verdictsOf(table.service().id());
             if (verdicts == null) {
                 continue;
             }
--- a/src/main/java/org/apricotgauge/node/RoutingState.java
+++ b/src/main/java/org/apricotgauge/node/RoutingState.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicReference;
-import org.apricotgauge.decision.detection.Verdicts;
+import org.apricotgauge.decision.detection.EjectionVerdicts;
 import org.apricotgauge.decision.gossip.VmView;
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.decision.routing.RoutingTable;
@@ -39,7 +39,7 @@
     private final RoutingTableFactory mFactory;
     private final Ticker mTicker;
     private final RoutingTableFactory.View mView;
-    private final Map<String, Verdicts> mVerdicts = new HashMap<>();
+    private final Map<String, EjectionVerdicts> mVerdicts = new HashMap<>();
     private final Set<String> mSaidTheyLeave = ConcurrentHashMap.newKeySet();
     private final Deque<String> mSaidInOrder = new ArrayDeque<>();
     private volatile SiteMembers mMembers = SiteMembers.of(VmView.EMPTY, "");
@@ -77,7 +77,7 @@
                 || !Objects.equals(candidate.guard(), guardOf(target));
     }
 
-    synchronized void verdictsChanged(String service, Verdicts verdicts) {
+    synchronized void verdictsChanged(String service, EjectionVerdicts verdicts) {
         mVerdicts.put(service, verdicts);
         refresh(service);
     }
@@ -124,7 +124,7 @@
     }
 
     private double weightOf(Target target) {
-        Verdicts verdicts = mVerdicts.get(target.service());
+        EjectionVerdicts verdicts = mVerdicts.get(target.service());
         if (verdicts == null) {
             return 1.0;
         }
--- a/src/main/java/org/apricotgauge/node/VerdictRecorder.java
+++ b/src/main/java/org/apricotgauge/node/VerdictRecorder.java
@@ -1,7 +1,7 @@
 package org.apricotgauge.node;
 
-import org.apricotgauge.decision.detection.Verdict;
-import org.apricotgauge.decision.detection.Verdicts;
+import org.apricotgauge.decision.detection.EjectionVerdict;
+import org.apricotgauge.decision.detection.EjectionVerdicts;
 import org.apricotgauge.event.FloorReached;
 import org.apricotgauge.event.TargetEjected;
 import org.apricotgauge.event.TargetReadmitted;
@@ -18,9 +18,9 @@
         mWindows = windows;
     }
 
-    void record(String service, Verdicts before, Verdicts after) {
-        for (Verdict verdict : after.byTarget().values()) {
-            Verdict old = before == null ? null : before.byTarget().get(verdict.targetId());
+    void record(String service, EjectionVerdicts before, EjectionVerdicts after) {
+        for (EjectionVerdict verdict : after.byTarget().values()) {
+            EjectionVerdict old = before == null ? null : before.byTarget().get(verdict.targetId());
             boolean wasOut = old != null && !old.isEligible();
             if (!wasOut && !verdict.isEligible()) {
                 mWindows.count(service, OutcomeKind.EJECTED);
@@ -29,8 +29,8 @@
                 mEvents.record(
                         new TargetReadmitted(service, verdict.targetId(), verdict.evidence()));
             }
-            boolean wasHeld = old != null && old.heldByFloor();
-            if (verdict.heldByFloor() && !wasHeld) {
+            boolean wasHeld = old != null && old.keptByFloor();
+            if (verdict.keptByFloor() && !wasHeld) {
                 mEvents.record(
                         new FloorReached(
                                 service,
--- a/src/main/java/org/apricotgauge/operator/watch/FleetView.java
+++ b/src/main/java/org/apricotgauge/operator/watch/FleetView.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import org.apricotgauge.decision.effect.Effect;
 import org.apricotgauge.decision.effect.EffectPolicy;
-import org.apricotgauge.decision.effect.NodeEffect;
+import org.apricotgauge.decision.effect.NodeOutcomes;
 import org.apricotgauge.decision.effect.OutcomeShare;
 import org.apricotgauge.operator.NodeAnswer;
 import org.apricotgauge.operator.NodeStatus;
@@ -128,11 +128,11 @@
 
     private static Change change(
             List<NodeStatus> statuses, Optional<String> service, long version, int asked) {
-        List<NodeEffect> effects =
+        List<NodeOutcomes> effects =
                 statuses.stream()
                         .map(
                                 status ->
-                                        new NodeEffect(
+                                        new NodeOutcomes(
                                                 share(sum(status, service, 0, version - 1)),
                                                 share(sum(status, service, version, MAX_VERSION))))
                         .toList();
@@ -141,7 +141,7 @@
         // The nodes that a change hurt most may be the ones that no longer answer.
         Effect effect =
                 2 * statuses.size() > asked
-                        ? EffectPolicy.judge(effects)
+                        ? EffectPolicy.evaluate(effects)
                         : new Effect(
                                 Effect.Verdict.UNDECIDED,
                                 share(before),
--- a/src/main/java/org/apricotgauge/target/RunWatch.java
+++ b/src/main/java/org/apricotgauge/target/RunWatch.java
@@ -63,7 +63,7 @@
             mOverdue =
                     mContext.scheduler()
                             .schedule(
-                                    () -> observe(ObservedOutcome.OVERDUE, overdueMicros),
+                                    () -> observe(ObservedOutcome.UNRESPONSIVE, overdueMicros),
                                     overdueMicros,
                                     TimeUnit.MICROSECONDS);
         }
@@ -89,7 +89,7 @@
         }
         HealthGate.Silence silence = mGate.health().overdue(run, mContext.ticker().millis());
         if (silence == HealthGate.Silence.HUNG) {
-            observe(ObservedOutcome.OVERDUE, TimeUnit.MILLISECONDS.toMicros(atMillis));
+            observe(ObservedOutcome.UNRESPONSIVE, TimeUnit.MILLISECONDS.toMicros(atMillis));
         } else {
             tellHealth();
             lookLater(atMillis + patienceMillis / LOOKS, patienceMillis, whenHung);
@@ -144,7 +144,7 @@
         switch (outcome) {
             case SUCCESS -> showedHealth((run, now) -> mGate.health().ended(run, false, now));
             case TARGET_ERROR -> showedHealth((run, now) -> mGate.health().ended(run, true, now));
-            case TIMEOUT, OVERDUE -> showedHealth(mGate.health()::endedSilent);
+            case TIMEOUT, UNRESPONSIVE -> showedHealth(mGate.health()::endedSilent);
             default -> {
                 // Load, the path or the caller: nothing about the target's health.
             }
--- a/src/test/java/org/apricotgauge/decision/access/AccessPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/access/AccessPolicyTest.java
@@ -15,24 +15,24 @@
 /** Who comes in, by key and route. */
 class AccessPolicyTest {
     private static final KeyDigest KEY = KeyDigest.of("k1");
-    private static final Member STABLE = new Member("stable", 1, List.of(KEY), null, null);
-    private static final Configuration KEYED = Configuration.EMPTY.withMember(STABLE);
+    private static final Member MEMBER = new Member("stable", 1, List.of(KEY), null, null);
+    private static final Configuration KEYED = Configuration.EMPTY.withMember(MEMBER);
     private static final Credentials KNOWN = Credentials.ofKey(KEY);
     private static final Credentials UNKNOWN = Credentials.ofKey(KeyDigest.of("k9"));
-    private static final Route SHUT = route(null);
+    private static final Route PROTECTED = route(null);
     private static final Route OPEN = route(true);
 
     @Test
-    void aKeyNamesItsMember() {
-        for (Route route : List.of(SHUT, OPEN)) {
+    void grantsAccessOnBehalfOfTheKeysMember() {
+        for (Route route : List.of(PROTECTED, OPEN)) {
             assertThat(AccessPolicy.decide(KEYED, route, KNOWN))
-                    .isEqualTo(new Access.Granted(Optional.of(STABLE)));
+                    .isEqualTo(new Access.Granted(Optional.of(MEMBER)));
         }
     }
 
     @Test
-    void aKeyThatNobodyHasIsRefusedOnOpenRoutesToo() {
-        for (Route route : List.of(SHUT, OPEN)) {
+    void deniesUnknownAndMalformedKeysOnOpenRoutesToo() {
+        for (Route route : List.of(PROTECTED, OPEN)) {
             assertThat(AccessPolicy.decide(KEYED, route, UNKNOWN))
                     .isEqualTo(new Access.Denied(Access.Reason.KEY_UNKNOWN));
             assertThat(AccessPolicy.decide(KEYED, route, Credentials.UNREADABLE))
@@ -41,18 +41,18 @@
     }
 
     @Test
-    void onlyAnOpenRouteNeedsNoKey() {
+    void requiresAKeyUnlessTheRouteIsOpen() {
         assertThat(AccessPolicy.decide(KEYED, OPEN, Credentials.NONE))
                 .isEqualTo(new Access.Granted(Optional.empty()));
-        assertThat(AccessPolicy.decide(KEYED, SHUT, Credentials.NONE))
+        assertThat(AccessPolicy.decide(KEYED, PROTECTED, Credentials.NONE))
                 .isEqualTo(new Access.Denied(Access.Reason.KEY_MISSING));
     }
 
     // Guards against a site without keys that refuses callers for what they send.
     @Test
-    void whereNobodyHasAKeyEverybodyComesIn() {
+    void grantsAccessToAllWhenNoMemberHasAKey() {
         for (Credentials any : List.of(Credentials.NONE, UNKNOWN, Credentials.UNREADABLE)) {
-            assertThat(AccessPolicy.decide(Configuration.EMPTY, SHUT, any))
+            assertThat(AccessPolicy.decide(Configuration.EMPTY, PROTECTED, any))
                     .isEqualTo(new Access.Granted(Optional.empty()));
         }
     }
--- a/src/test/java/org/apricotgauge/decision/detection/DetectorHarness.java
+++ b/src/test/java/org/apricotgauge/decision/detection/DetectorHarness.java
@@ -11,18 +11,18 @@
 final class DetectorHarness {
     static final long FAILS = -1;
     static final long SHEDS = -2;
-    static final DetectionOdds ENTOTO = new DetectionOdds(5, 1);
+    static final DetectionOdds ODDS = new DetectionOdds(5, 1);
 
     final ServiceDetector mDetector;
     final String[] mIds;
     final TargetPresence[] mPresence;
     long mNowMillis;
-    Verdicts mVerdicts;
+    EjectionVerdicts mVerdicts;
     private final SplittableRandom mRandom = new SplittableRandom(42);
     private final int mSlots;
 
     DetectorHarness(int targets, int slots, int floorPercent) {
-        Service service = new Service("pool", floorPercent, ENTOTO, 0, 100, null);
+        Service service = new Service("pool", floorPercent, ODDS, 0, 100, null);
         mDetector = new ServiceDetector(service, 1);
         mSlots = slots;
         mIds = new String[targets];
@@ -34,12 +34,12 @@
         decide();
     }
 
-    Membership membership() {
-        List<Membership.Entry> entries = new ArrayList<>();
+    ConfiguredTargets membership() {
+        List<ConfiguredTargets.ConfiguredTarget> entries = new ArrayList<>();
         for (int i = 0; i < mIds.length; i++) {
-            entries.add(new Membership.Entry(mIds[i], mSlots, mPresence[i]));
+            entries.add(new ConfiguredTargets.ConfiguredTarget(mIds[i], mSlots, mPresence[i]));
         }
-        return new Membership(entries);
+        return new ConfiguredTargets(entries);
     }
 
     void decide() {
@@ -60,7 +60,7 @@
     }
 
     /** Sends rounds of one request to each eligible target, 100 ms apart; the law gives micros. */
-    void rounds(int rounds, ObservationEnd end, ToLongFunction<String> law) {
+    void rounds(int rounds, ObservationPoint end, ToLongFunction<String> law) {
         for (int round = 0; round < rounds; round++) {
             mNowMillis += 100;
             for (String id : mIds) {
@@ -72,11 +72,11 @@
         }
     }
 
-    void observe(String id, ObservationEnd end, long micros) {
+    void observe(String id, ObservationPoint end, long micros) {
         ObservedOutcome outcome = ObservedOutcome.SUCCESS;
         if (micros == FAILS) {
             outcome =
-                    end == ObservationEnd.GUARD
+                    end == ObservationPoint.GUARD
                             ? ObservedOutcome.TARGET_ERROR
                             : ObservedOutcome.PATH_FAULT;
         } else if (micros == SHEDS) {
@@ -88,13 +88,13 @@
     }
 
     void healthy(int rounds) {
-        rounds(rounds, ObservationEnd.GUARD, id -> healthyMicros());
+        rounds(rounds, ObservationPoint.GUARD, id -> healthyMicros());
     }
 
     /** Runs until the target is out, and returns how many rounds that took, at most the limit. */
     int roundsToEjection(String target, int limit, ToLongFunction<String> law) {
         for (int round = 1; round <= limit; round++) {
-            rounds(1, ObservationEnd.GUARD, law);
+            rounds(1, ObservationPoint.GUARD, law);
             if (!mVerdicts.isEligible(target)) {
                 return round;
             }
--- a/src/test/java/org/apricotgauge/decision/detection/FloorProperties.java
+++ b/src/test/java/org/apricotgauge/decision/detection/FloorProperties.java
@@ -32,7 +32,7 @@
         FAIL_PATH,
         FAIL_REMOTELY,
         LEAVE,
-        DIE,
+        TERMINATE,
         RAMP,
         RETURN,
         CHANGE_FLOOR,
@@ -57,9 +57,9 @@
     @Property(seed = "6", tries = 1_000)
     void ejectionsNeverBreakTheFloor(
             @ForAll("runs") List<Step> steps, @ForAll @IntRange(max = 100) int floorPercent) {
-        Run run = new Run(floorPercent);
+        Simulation run = new Simulation(floorPercent);
         for (Step step : steps) {
-            run.take(step);
+            run.apply(step);
             run.checkAgainstOracle();
         }
     }
@@ -70,12 +70,12 @@
      * floor can be served however it is spread over the entries (Hall 1935).
      */
     @Property(seed = "7", tries = 300)
-    void differingViewsLeaveTheFloorToEverySetOfEntries(
+    void everySetOfEntriesReachesTheFloorDespiteDifferingEvidence(
             @ForAll("runs") List<Step> first, @ForAll("runs") List<Step> second) {
-        Run one = new Run(60);
-        Run other = new Run(60);
-        first.stream().filter(step -> !isMembership(step)).forEach(one::take);
-        second.stream().filter(step -> !isMembership(step)).forEach(other::take);
+        Simulation one = new Simulation(60);
+        Simulation other = new Simulation(60);
+        first.stream().filter(step -> !isMembership(step)).forEach(one::apply);
+        second.stream().filter(step -> !isMembership(step)).forEach(other::apply);
         Set<String> union = new HashSet<>(one.eligible());
         union.addAll(other.eligible());
         assertThat(one.eligible().size() * SLOTS).isGreaterThanOrEqualTo(11);
@@ -85,19 +85,21 @@
 
     private static boolean isMembership(Step step) {
         return switch (step.action()) {
-            case LEAVE, DIE, RAMP, RETURN, CHANGE_FLOOR -> true;
+            case LEAVE, TERMINATE, RAMP, RETURN, CHANGE_FLOOR -> true;
             default -> false;
         };
     }
 
     @Test
-    void stopsOnABrokenFloor() {
-        Membership membership =
-                new Membership(
+    void throwsWhenEjectionsBreakTheFloor() {
+        ConfiguredTargets membership =
+                new ConfiguredTargets(
                         List.of(
-                                new Membership.Entry("t0", 3, TargetPresence.PRESENT),
-                                new Membership.Entry("t1", 3, TargetPresence.PRESENT)));
-        Map<String, Verdict> verdicts = new HashMap<>();
+                                new ConfiguredTargets.ConfiguredTarget(
+                                        "t0", 3, TargetPresence.PRESENT),
+                                new ConfiguredTargets.ConfiguredTarget(
+                                        "t1", 3, TargetPresence.PRESENT)));
+        Map<String, EjectionVerdict> verdicts = new HashMap<>();
         verdicts.put("t0", verdict("t0", VerdictState.EJECTED));
         verdicts.put("t1", verdict("t1", VerdictState.HEALTHY));
         assertThatIllegalStateException()
@@ -105,19 +107,19 @@
                 .withMessageContaining("leave 3 slots, the floor is 4");
     }
 
-    private static Verdict verdict(String id, VerdictState state) {
-        return new Verdict(id, state, 0, VerdictScope.TARGET, 0, 1, false, "");
+    private static EjectionVerdict verdict(String id, VerdictState state) {
+        return new EjectionVerdict(id, state, 0, VerdictScope.TARGET, 0, 1, false, "");
     }
 
     /** A detector under the steps, and the oracle that counts its capacity. */
-    private static final class Run {
+    private static final class Simulation {
         private final DetectorHarness mPool;
         private final ServiceDetector mRemote;
         private int mFloorPercent;
-        private Verdicts mVerdicts;
+        private EjectionVerdicts mVerdicts;
         private ServiceDetector mDetector;
 
-        Run(int floorPercent) {
+        Simulation(int floorPercent) {
             mPool = new DetectorHarness(TARGETS, SLOTS, floorPercent);
             mPool.healthy(20);
             mDetector = mPool.mDetector;
@@ -127,7 +129,7 @@
             mDetector.mergeRemote("remote", mRemote.digest(), mPool.mNowMillis);
         }
 
-        void take(Step step) {
+        void apply(Step step) {
             String id = mPool.mIds[step.target()];
             for (int i = 0; i < step.times(); i++) {
                 mPool.mNowMillis += 20;
@@ -135,7 +137,7 @@
             }
             switch (step.action()) {
                 case LEAVE -> mPool.mPresence[step.target()] = TargetPresence.LEAVING;
-                case DIE -> mPool.mPresence[step.target()] = TargetPresence.DEAD;
+                case TERMINATE -> mPool.mPresence[step.target()] = TargetPresence.TERMINATED;
                 case RAMP -> mPool.mPresence[step.target()] = TargetPresence.RAMPING;
                 case RETURN -> mPool.mPresence[step.target()] = TargetPresence.PRESENT;
                 case CHANGE_FLOOR -> changeFloor(step.times() * 3);
@@ -148,10 +150,10 @@
         private void observe(Action action, String id) {
             long micros = mPool.healthyMicros();
             switch (action) {
-                case FAIL -> mPool.observe(id, ObservationEnd.GUARD, DetectorHarness.FAILS);
-                case SLOW -> mPool.observe(id, ObservationEnd.GUARD, 10 * micros);
-                case SUCCEED -> mPool.observe(id, ObservationEnd.GUARD, micros);
-                case FAIL_PATH -> mPool.observe(id, ObservationEnd.ENTRY, DetectorHarness.FAILS);
+                case FAIL -> mPool.observe(id, ObservationPoint.GUARD, DetectorHarness.FAILS);
+                case SLOW -> mPool.observe(id, ObservationPoint.GUARD, 10 * micros);
+                case SUCCEED -> mPool.observe(id, ObservationPoint.GUARD, micros);
+                case FAIL_PATH -> mPool.observe(id, ObservationPoint.ENTRY, DetectorHarness.FAILS);
                 case FAIL_REMOTELY -> failRemotely(id);
                 default -> {}
             }
@@ -161,7 +163,7 @@
             mRemote.observe(
                     new Observation(
                             id,
-                            ObservationEnd.GUARD,
+                            ObservationPoint.GUARD,
                             ObservedOutcome.TIMEOUT,
                             0,
                             mPool.mNowMillis,
@@ -171,7 +173,7 @@
 
         private void changeFloor(int percent) {
             mFloorPercent = percent;
-            mDetector.update(new Service("pool", percent, DetectorHarness.ENTOTO, 0, 100, null));
+            mDetector.update(new Service("pool", percent, DetectorHarness.ODDS, 0, 100, null));
         }
 
         Set<String> eligible() {
--- a/src/test/java/org/apricotgauge/decision/detection/ServiceDetectorTest.java
+++ b/src/test/java/org/apricotgauge/decision/detection/ServiceDetectorTest.java
@@ -24,12 +24,12 @@
      * nine requests until the guard's evidence has crossed the threshold, after four requests.
      */
     @Test
-    void ejectsATargetThatFailsAll() {
+    void ejectsATargetThatFailsEveryRequest() {
         int rounds =
                 mPool.roundsToEjection(
                         "t3", 20, id -> id.equals("t3") ? FAILS : mPool.healthyMicros());
         assertThat(rounds).isLessThanOrEqualTo(5);
-        Verdict verdict = mPool.mVerdicts.byTarget().get("t3");
+        EjectionVerdict verdict = mPool.mVerdicts.byTarget().get("t3");
         assertThat(verdict.state()).isEqualTo(VerdictState.EJECTED);
         assertThat(verdict.evidence()).contains("beside the target: failing", "nats of");
     }
@@ -39,7 +39,7 @@
      * nothing; compared with its fellows it stands out after some ten requests.
      */
     @Test
-    void ejectsAStraggler() {
+    void ejectsASlowTarget() {
         int rounds =
                 mPool.roundsToEjection(
                         "t3", 50, id -> mPool.healthyMicros() * (id.equals("t3") ? 3 : 1));
@@ -52,20 +52,20 @@
      */
     @Test
     void ejectsATargetThatHangs() {
-        long overdueMicros = mPool.mDetector.overdueMicros(ObservationEnd.GUARD);
+        long overdueMicros = mPool.mDetector.unresponsiveAfterMicros(ObservationPoint.GUARD);
         assertThat(overdueMicros).isBetween(80_000L, 300_000L);
         for (int i = 0; i < 4; i++) {
             mPool.mNowMillis += 100;
             for (String id : mPool.mIds) {
                 if (!id.equals("t3")) {
-                    mPool.observe(id, ObservationEnd.GUARD, mPool.healthyMicros());
+                    mPool.observe(id, ObservationPoint.GUARD, mPool.healthyMicros());
                 }
             }
             mPool.mDetector.observe(
                     new Observation(
                             "t3",
-                            ObservationEnd.GUARD,
-                            ObservedOutcome.OVERDUE,
+                            ObservationPoint.GUARD,
+                            ObservedOutcome.UNRESPONSIVE,
                             overdueMicros,
                             mPool.mNowMillis,
                             Observation.NO_KEY));
@@ -88,7 +88,7 @@
                 mPool.mDetector.observe(
                         new Observation(
                                 "t3",
-                                ObservationEnd.GUARD,
+                                ObservationPoint.GUARD,
                                 ObservedOutcome.TARGET_ERROR,
                                 5_000,
                                 mPool.mNowMillis,
@@ -106,9 +106,9 @@
      * load on the rest.
      */
     @Test
-    void ejectsNobodyForBeingAsSlowAsAll() {
+    void ejectsNoTargetWhenTheWholeServiceSlowsDown() {
         for (int round = 0; round < 300; round++) {
-            mPool.rounds(1, ObservationEnd.GUARD, id -> 5 * mPool.healthyMicros());
+            mPool.rounds(1, ObservationPoint.GUARD, id -> 5 * mPool.healthyMicros());
             assertThat(mPool.allEligible()).as("round %d", round).isTrue();
         }
     }
@@ -118,10 +118,10 @@
      * slow, but their answers are still on the way; until they come, nobody is ejected.
      */
     @Test
-    void waitsForTheFellowsAnswers() {
+    void waitsForAnswersOfTheOtherTargets() {
         for (int i = 0; i < 6; i++) {
             mPool.mNowMillis += 20;
-            mPool.observe("t3", ObservationEnd.GUARD, 5 * mPool.healthyMicros());
+            mPool.observe("t3", ObservationPoint.GUARD, 5 * mPool.healthyMicros());
             mPool.decide();
             assertThat(mPool.allEligible()).isTrue();
         }
@@ -132,12 +132,12 @@
      * but no target of another domain may.
      */
     @Test
-    void ejectsNobodyOutsideASlowFailureDomain() {
+    void ejectsNoTargetOutsideASlowFailureDomain() {
         List<String> domain = List.of("t0", "t3", "t6");
         for (int round = 0; round < 15; round++) {
             mPool.rounds(
                     1,
-                    ObservationEnd.GUARD,
+                    ObservationPoint.GUARD,
                     id -> mPool.healthyMicros() * (domain.contains(id) ? 3 : 1));
             for (String id : mPool.mIds) {
                 assertThat(domain.contains(id) || mPool.mVerdicts.isEligible(id)).isTrue();
@@ -151,11 +151,11 @@
      * would eject it and push the next target over its limit.
      */
     @Test
-    void takesSheddingForLoad() {
+    void doesNotEjectForLoadShedding() {
         int[] request = {0};
         mPool.rounds(
                 200,
-                ObservationEnd.GUARD,
+                ObservationPoint.GUARD,
                 id -> id.equals("t3") && ++request[0] % 2 == 0 ? SHEDS : mPool.healthyMicros());
         assertThat(mPool.allEligible()).isTrue();
     }
@@ -165,10 +165,12 @@
      * count neither against it nor in its fellows' baseline.
      */
     @Test
-    void bearsWithAColdStart() {
+    void ignoresSlownessDuringColdStart() {
         mPool.mPresence[3] = TargetPresence.RAMPING;
         mPool.rounds(
-                50, ObservationEnd.GUARD, id -> mPool.healthyMicros() * (id.equals("t3") ? 20 : 1));
+                50,
+                ObservationPoint.GUARD,
+                id -> mPool.healthyMicros() * (id.equals("t3") ? 20 : 1));
         assertThat(mPool.mVerdicts.isEligible("t3")).isTrue();
         mPool.mPresence[3] = TargetPresence.PRESENT;
         for (int round = 0; round < 100; round++) {
@@ -182,18 +184,20 @@
      * served. This entry stops using the target; a node that hears of it goes on.
      */
     @Test
-    void keepsAPathFaultToThisEntry() {
+    void limitsAPathFaultToThisEntry() {
         DetectorHarness other = new DetectorHarness(9, 3, 60);
         for (int round = 0; round < 100; round++) {
             mPool.rounds(
-                    1, ObservationEnd.ENTRY, id -> id.equals("t3") ? FAILS : mPool.healthyMicros());
-            mPool.observe("t3", ObservationEnd.GUARD, mPool.healthyMicros());
+                    1,
+                    ObservationPoint.ENTRY,
+                    id -> id.equals("t3") ? FAILS : mPool.healthyMicros());
+            mPool.observe("t3", ObservationPoint.GUARD, mPool.healthyMicros());
             other.mNowMillis = mPool.mNowMillis;
             other.mDetector.mergeRemote("entry", mPool.mDetector.digest(), other.mNowMillis);
             other.decide();
             assertThat(other.allEligible()).isTrue();
         }
-        Verdict verdict = mPool.mVerdicts.byTarget().get("t3");
+        EjectionVerdict verdict = mPool.mVerdicts.byTarget().get("t3");
         assertThat(verdict.isEligible()).isFalse();
         assertThat(verdict.scope()).isEqualTo(VerdictScope.PATH);
     }
@@ -204,7 +208,7 @@
      * third entry that see the same, the target is ejected.
      */
     @Test
-    void ejectsForAnotherEntryOnlyByQuorum() {
+    void ejectsOnRemoteEntryEvidenceOnlyByQuorum() {
         DetectorHarness other = new DetectorHarness(9, 3, 60);
         ServiceDetector[] entries = new ServiceDetector[3];
         for (int i = 0; i < entries.length; i++) {
@@ -229,7 +233,7 @@
             entry.observe(
                     new Observation(
                             id,
-                            ObservationEnd.ENTRY,
+                            ObservationPoint.ENTRY,
                             isFailing ? ObservedOutcome.TARGET_ERROR : ObservedOutcome.SUCCESS,
                             pool.healthyMicros(),
                             pool.mNowMillis,
@@ -243,14 +247,14 @@
      * that takes four failed requests.
      */
     @Test
-    void learnsFromTheGuardsDigests() {
+    void ejectsOnGuardDigestsOfAnotherNode() {
         DetectorHarness other = new DetectorHarness(9, 3, 60);
         EvidenceDigest last = mPool.mDetector.digest();
         for (int round = 0; round < 60; round++) {
             boolean isSick = round >= 50;
             mPool.rounds(
                     1,
-                    ObservationEnd.GUARD,
+                    ObservationPoint.GUARD,
                     id -> isSick && id.equals("t3") ? FAILS : mPool.healthyMicros());
             EvidenceDigest digest = mPool.mDetector.digest();
             other.mNowMillis = mPool.mNowMillis;
@@ -269,12 +273,12 @@
      * second. A few good answers bring it back.
      */
     @Test
-    void readmitsByAFewRequests() {
+    void readmitsAfterAFewProbes() {
         mPool.roundsToEjection("t3", 20, id -> id.equals("t3") ? FAILS : mPool.healthyMicros());
         int[] tried = {0};
         mPool.rounds(
                 60,
-                ObservationEnd.GUARD,
+                ObservationPoint.GUARD,
                 id -> {
                     tried[0] += id.equals("t3") && !mPool.mVerdicts.isEligible("t3") ? 1 : 0;
                     return mPool.healthyMicros();
@@ -288,7 +292,7 @@
      * few errors; the hold time doubles, so that the errors become rare.
      */
     @Test
-    void makesFlappingDearer() {
+    void errorsOfAFlappingTargetBecomeRare() {
         int[] errors = new int[2];
         for (int half = 0; half < 2; half++) {
             for (int round = 0; round < 6_000; round++) {
@@ -296,7 +300,7 @@
                 int now = half;
                 mPool.rounds(
                         1,
-                        ObservationEnd.GUARD,
+                        ObservationPoint.GUARD,
                         id -> {
                             if (!isBad || !id.equals("t3")) {
                                 return mPool.healthyMicros();
@@ -315,10 +319,10 @@
      * dies: the least bad of the three, the slow one, serves again in the very next decision.
      */
     @Test
-    void returnsTheLeastBadWhenCapacityIsLost() {
+    void readmitsTheLeastDegradedTargetWhenCapacityIsLost() {
         mPool.rounds(
                 150,
-                ObservationEnd.GUARD,
+                ObservationPoint.GUARD,
                 id ->
                         switch (id) {
                             case "t0", "t1" -> FAILS;
@@ -326,10 +330,10 @@
                             default -> mPool.healthyMicros();
                         });
         assertThat(List.of("t0", "t1", "t2")).noneMatch(mPool.mVerdicts::isEligible);
-        mPool.mPresence[8] = TargetPresence.DEAD;
+        mPool.mPresence[8] = TargetPresence.TERMINATED;
         mPool.decide();
         assertThat(mPool.mVerdicts.isEligible("t2")).isTrue();
-        assertThat(mPool.mVerdicts.byTarget().get("t2").heldByFloor()).isTrue();
+        assertThat(mPool.mVerdicts.byTarget().get("t2").keptByFloor()).isTrue();
         assertThat(mPool.mVerdicts.weight("t2")).isLessThan(0.2);
         assertThat(List.of("t0", "t1")).noneMatch(mPool.mVerdicts::isEligible);
     }
@@ -339,7 +343,7 @@
      * found by a handful of requests, and time alone adds no evidence.
      */
     @Test
-    void decidesOnThinTraffic() {
+    void ejectsAFailingTargetAtLowTraffic() {
         DetectorHarness thin = new DetectorHarness(6, 3, 60);
         for (int i = 0; i < 200; i++) {
             thin.mNowMillis += 9_900;
@@ -350,14 +354,16 @@
             requests++;
             thin.mNowMillis += 9_900;
             thin.rounds(
-                    1, ObservationEnd.GUARD, id -> id.equals("t3") ? FAILS : thin.healthyMicros());
+                    1,
+                    ObservationPoint.GUARD,
+                    id -> id.equals("t3") ? FAILS : thin.healthyMicros());
         }
         assertThat(requests).isLessThanOrEqualTo(5);
     }
 
     @Test
-    void asksMoreEvidenceWhereFalseEjectionsAreDear() {
-        Service careful = new Service("s", 60, DetectorHarness.ENTOTO, 0, 100, null);
+    void requiresMoreEvidenceWhenFalseEjectionsCostMore() {
+        Service careful = new Service("s", 60, DetectorHarness.ODDS, 0, 100, null);
         double dear = DetectionThreshold.nats(careful.detection(), 10, 1);
         double cheap =
                 DetectionThreshold.nats(new org.apricotgauge.model.DetectionOdds(1, 20), 10, 1);
--- a/src/test/java/org/apricotgauge/decision/effect/EffectPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/effect/EffectPolicyTest.java
@@ -19,7 +19,7 @@
      * neither. At an error of 1 in 100 some 10 of 1,000 are expected; the seed is fixed.
      */
     @Test
-    void burstsAtSomeNodesAreNotTakenForAnEffect() {
+    void burstsAtSomeNodesAreUndecided() {
         Random random = new Random(1721);
         int judged = 0;
         for (int trial = 0; trial < TRIALS; trial++) {
@@ -32,29 +32,30 @@
     }
 
     @Test
-    void clearChangeIsSeenInItsDirection() {
+    void detectsAClearChangeInItsDirection() {
         Random random = new Random(1722);
 
-        assertThat(shareOf(random, Effect.Verdict.HELPED, 0.05, 0.001)).isGreaterThan(0.9);
-        assertThat(shareOf(random, Effect.Verdict.HARMED, 0.001, 0.05)).isGreaterThan(0.9);
+        assertThat(shareOfTrials(random, Effect.Verdict.HELPED, 0.05, 0.001)).isGreaterThan(0.9);
+        assertThat(shareOfTrials(random, Effect.Verdict.HARMED, 0.001, 0.05)).isGreaterThan(0.9);
     }
 
     @Test
-    void tooLittleIsUndecided() {
-        NodeEffect bad = new NodeEffect(new OutcomeShare(50, 50), new OutcomeShare(0, 50));
-        NodeEffect onlyBefore = new NodeEffect(new OutcomeShare(50, 500), new OutcomeShare(0, 0));
+    void tooFewNodesOrRequestsAreUndecided() {
+        NodeOutcomes bad = new NodeOutcomes(new OutcomeShare(50, 50), new OutcomeShare(0, 50));
+        NodeOutcomes onlyBefore =
+                new NodeOutcomes(new OutcomeShare(50, 500), new OutcomeShare(0, 0));
 
-        assertThat(EffectPolicy.judge(List.of()).verdict()).isEqualTo(Effect.Verdict.UNDECIDED);
-        assertThat(EffectPolicy.judge(List.of(bad, bad, onlyBefore)).reason())
+        assertThat(EffectPolicy.evaluate(List.of()).verdict()).isEqualTo(Effect.Verdict.UNDECIDED);
+        assertThat(EffectPolicy.evaluate(List.of(bad, bad, onlyBefore)).reason())
                 .isEqualTo("2 nodes saw requests before and after; needs 3");
-        NodeEffect few = new NodeEffect(new OutcomeShare(33, 33), new OutcomeShare(0, 50));
-        assertThat(EffectPolicy.judge(List.of(few, few, few)).reason())
+        NodeOutcomes few = new NodeOutcomes(new OutcomeShare(33, 33), new OutcomeShare(0, 50));
+        assertThat(EffectPolicy.evaluate(List.of(few, few, few)).reason())
                 .isEqualTo("needs 100 requests before and after");
-        assertThat(EffectPolicy.judge(List.of(bad, bad, bad)).verdict())
+        assertThat(EffectPolicy.evaluate(List.of(bad, bad, bad)).verdict())
                 .isEqualTo(Effect.Verdict.HELPED);
     }
 
-    private static double shareOf(
+    private static double shareOfTrials(
             Random random, Effect.Verdict verdict, double before, double after) {
         long found =
                 Stream.generate(() -> verdict(random, before, after))
@@ -65,15 +66,17 @@
     }
 
     private static Effect.Verdict verdict(Random random, double before, double after) {
-        List<NodeEffect> nodes = new ArrayList<>();
+        List<NodeOutcomes> nodes = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            nodes.add(new NodeEffect(burst(random, before), burst(random, after)));
+            nodes.add(
+                    new NodeOutcomes(
+                            outcomesInBursts(random, before), outcomesInBursts(random, after)));
         }
-        return EffectPolicy.judge(nodes).verdict();
+        return EffectPolicy.evaluate(nodes).verdict();
     }
 
     /** A node's share is drawn anew at each time, with an exponential spread around the mean. */
-    private static OutcomeShare burst(Random random, double meanShare) {
+    private static OutcomeShare outcomesInBursts(Random random, double meanShare) {
         double share = Math.min(1, -Math.log(1 - random.nextDouble()) * meanShare);
         long bad = 0;
         for (int i = 0; i < REQUESTS; i++) {
--- a/src/test/java/org/apricotgauge/node/EvidenceShareTest.java
+++ b/src/test/java/org/apricotgauge/node/EvidenceShareTest.java
@@ -21,7 +21,7 @@
                     List.of(
                             new EvidenceDigest.TargetEvidence(
                                     "t",
-                                    new EvidenceDigest.EndEvidence(3, 0, 1, 5, List.of(4L, 8L)),
+                                    new EvidenceDigest.EvidenceCounts(3, 0, 1, 5, List.of(4L, 8L)),
                                     null)));
 
     private final ManualTicker mTicker = new ManualTicker();
