--- a/src/main/java/org/apricotgauge/caller/CallerExchange.java
+++ b/src/main/java/org/apricotgauge/caller/CallerExchange.java
@@ -5,12 +5,12 @@
 import java.util.function.Supplier;
 import org.apricotgauge.decision.admission.Patience;
 import org.apricotgauge.decision.attempt.Attempt;
-import org.apricotgauge.decision.attempt.GuardSighting;
+import org.apricotgauge.decision.attempt.GuardClockEstimate;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
-import org.apricotgauge.decision.attempt.Progress;
 import org.apricotgauge.decision.attempt.RetryBudget;
 import org.apricotgauge.decision.attempt.RetryDecision;
+import org.apricotgauge.decision.attempt.SubmissionProgress;
 import org.apricotgauge.decision.attempt.UnknownReason;
 import org.apricotgauge.decision.health.HealthGate;
 import org.apricotgauge.decision.routing.Candidate;
@@ -49,7 +49,7 @@
     private final QuarantineCheck mQuarantine;
     private final long mDeadlineMillis;
     private final TargetChoice mChoice;
-    private Progress mProgress;
+    private SubmissionProgress mProgress;
     private Candidate mHome;
     private volatile boolean mAtPredecessor;
     private TargetAttempt mCurrent;
@@ -94,13 +94,13 @@
                         Fingerprints.hasBody(request),
                         mBody);
         mDeadlineMillis = context.ticker().millis() + asked.timeoutMillis();
-        mProgress = Progress.of(asked.repeatable(), false);
+        mProgress = SubmissionProgress.of(asked.repeatable(), false);
     }
 
     /** Starts at the node that remembers the request's key, and tries no other. */
     void startAtHome(Candidate home) {
         mHome = home;
-        mProgress = Progress.of(mAsked.repeatable(), true);
+        mProgress = SubmissionProgress.of(mAsked.repeatable(), true);
         start();
     }
 
@@ -193,11 +193,11 @@
     }
 
     /** Returns how much of a risk the present attempt may run. */
-    HealthGate.Caution caution() {
+    HealthGate.RiskTolerance caution() {
         synchronized (this) {
             return mChoice.isLastResort()
-                    ? HealthGate.Caution.NONE
-                    : mContext.repeatPolicy().caution(mProgress, maxRuns());
+                    ? HealthGate.RiskTolerance.NONE
+                    : mContext.repeatPolicy().riskTolerance(mProgress, maxRuns());
         }
     }
 
@@ -220,12 +220,12 @@
      * <p>Once one may have run there, the others keep its run and its latest start: addressed anew
      * they could reach a home that no longer remembers the key.
      */
-    Attempt addressAtHome(GuardSighting home, long untilMillis) {
+    Attempt addressAtHome(GuardClockEstimate home, long untilMillis) {
         synchronized (this) {
             mAtHome =
                     mProgress.mayHaveRun()
-                            ? mAtHome.again(mContext.ids().next())
-                            : home.address(
+                            ? mAtHome.withId(mContext.ids().next())
+                            : home.newAttempt(
                                     mContext.ids().next(), mContext.ticker().millis(), untilMillis);
             return mAtHome;
         }
@@ -244,7 +244,7 @@
             send(new PredecessorAttempt(this, mTable.service().predecessor()));
             return;
         }
-        Optional<Candidate> choice = mChoice.next(mProgress.last());
+        Optional<Candidate> choice = mChoice.next(mProgress.lastOutcome());
         if (choice.isEmpty()) {
             endWithoutTarget();
             return;
@@ -285,7 +285,7 @@
     }
 
     private void endHeld() {
-        Progress progress;
+        SubmissionProgress progress;
         synchronized (this) {
             progress = mProgress;
         }
@@ -297,13 +297,13 @@
     }
 
     private void endWithoutTarget() {
-        Progress progress;
+        SubmissionProgress progress;
         synchronized (this) {
             progress = mProgress;
         }
         if (progress.mayHaveRun()) {
             finish(new Outcome.Unknown(UnknownReason.FORGOTTEN));
-        } else if (progress.last() instanceof Outcome.NotRun refusal) {
+        } else if (progress.lastOutcome() instanceof Outcome.NotRun refusal) {
             finish(refusal);
         } else {
             finish(
@@ -373,7 +373,7 @@
         boolean canReplay = mBody.canReplay();
         // What reached no target cost none; charging it to the budget would turn the loss of one VM
         // into refusals while the other targets idle.
-        boolean free = !reachedTarget(mProgress.last());
+        boolean free = !reachedTarget(mProgress.lastOutcome());
         return mContext.repeatPolicy()
                 .decide(
                         mProgress,
--- a/src/main/java/org/apricotgauge/caller/CallerRequest.java
+++ b/src/main/java/org/apricotgauge/caller/CallerRequest.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 import org.apricotgauge.decision.attempt.IdempotencyKey;
-import org.apricotgauge.decision.attempt.RepeatHeader;
-import org.apricotgauge.decision.attempt.RepeatPolicy;
+import org.apricotgauge.decision.attempt.IdempotentHeader;
+import org.apricotgauge.decision.attempt.RetryPolicy;
 import org.apricotgauge.http.SiteDialect;
 import org.apricotgauge.model.Priority;
 import org.apricotgauge.model.Route;
@@ -38,13 +38,13 @@
             Route route,
             Requester requester,
             SiteDialect dialect) {
-        RepeatHeader repeat = RepeatHeader.parse(headers.get(RepeatHeader.HEADER));
+        IdempotentHeader repeat = IdempotentHeader.parse(headers.get(IdempotentHeader.HEADER));
         return new CallerRequest(
                 route,
                 requester,
                 requester.priorityOr(route.priority()),
                 timeoutOf(headers, route, dialect),
-                RepeatPolicy.isRepeatable(method, route.repeatability(), repeat),
+                RetryPolicy.isIdempotent(method, route.repeatability(), repeat),
                 keyOf(headers, route, requester.memberId()));
     }
 
--- a/src/main/java/org/apricotgauge/caller/EntryContext.java
+++ b/src/main/java/org/apricotgauge/caller/EntryContext.java
@@ -1,7 +1,7 @@
 package org.apricotgauge.caller;
 
-import org.apricotgauge.decision.attempt.AttemptIds;
-import org.apricotgauge.decision.attempt.RepeatPolicy;
+import org.apricotgauge.decision.attempt.AttemptIdGenerator;
+import org.apricotgauge.decision.attempt.RetryPolicy;
 import org.apricotgauge.decision.quarantine.QuarantineTable;
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.http.SiteDialect;
@@ -33,8 +33,8 @@
 record EntryContext(
         GuardClient guards,
         HttpClient direct,
-        AttemptIds ids,
-        RepeatPolicy repeatPolicy,
+        AttemptIdGenerator ids,
+        RetryPolicy repeatPolicy,
         Scheduler scheduler,
         Ticker ticker,
         EntryObserver observer,
--- a/src/main/java/org/apricotgauge/caller/EntryHandler.java
+++ b/src/main/java/org/apricotgauge/caller/EntryHandler.java
@@ -8,12 +8,12 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import org.apricotgauge.decision.allotment.Verdict;
-import org.apricotgauge.decision.attempt.AttemptIds;
+import org.apricotgauge.decision.attempt.AttemptIdGenerator;
 import org.apricotgauge.decision.attempt.IdempotencyKey;
-import org.apricotgauge.decision.attempt.KeyHome;
+import org.apricotgauge.decision.attempt.KeyOwner;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
-import org.apricotgauge.decision.attempt.RetryBudgets;
+import org.apricotgauge.decision.attempt.RetryBudgetRegistry;
 import org.apricotgauge.decision.quarantine.QuarantineTable;
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.decision.routing.RoutingTable;
@@ -54,7 +54,7 @@
     private final EntryContext mContext;
     private final AtomicInteger mInFlight = new AtomicInteger();
     private final RequesterReader mRequesters;
-    private final RetryBudgets mBudgets;
+    private final RetryBudgetRegistry mBudgets;
     private final KeyedRequests mKeyed;
     private volatile boolean mLeft;
 
@@ -82,7 +82,7 @@
             BooleanSupplier mayAct,
             GuardClient guards,
             HttpClient direct,
-            AttemptIds ids,
+            AttemptIdGenerator ids,
             Scheduler scheduler,
             Ticker ticker,
             EntryObserver observer,
@@ -118,7 +118,7 @@
                         EntryMetrics.of(registry));
         mRequesters = new RequesterReader(mContext.dialect(), mContext.log());
         mKeyed = new KeyedRequests(mContext, options.keyLimits());
-        mBudgets = new RetryBudgets(options.entryRetries(), ticker.millis());
+        mBudgets = new RetryBudgetRegistry(options.entryRetries(), ticker.millis());
     }
 
     /** Starts what runs beside the requests; the scheduler must have been started. */
@@ -328,7 +328,7 @@
         if (routed.asked().repeatable() || routed.asked().key().isEmpty() || !hasMemory) {
             return Optional.empty();
         }
-        String home = KeyHome.of(routed.asked().key().get(), KeyHomes.targetIds(routed.table()));
+        String home = KeyOwner.of(routed.asked().key().get(), KeyHomes.targetIds(routed.table()));
         return all.stream().filter(one -> one.target().id().equals(home)).findFirst();
     }
 
--- a/src/main/java/org/apricotgauge/caller/EntryOptions.java
+++ b/src/main/java/org/apricotgauge/caller/EntryOptions.java
@@ -2,8 +2,8 @@
 
 import org.apricotgauge.decision.admission.AdmissionConfig;
 import org.apricotgauge.decision.attempt.KeyLimits;
-import org.apricotgauge.decision.attempt.RepeatPolicy;
-import org.apricotgauge.decision.attempt.RetryPool;
+import org.apricotgauge.decision.attempt.RetryAllowancePolicy;
+import org.apricotgauge.decision.attempt.RetryPolicy;
 import org.apricotgauge.http.FleetDialect;
 import org.apricotgauge.http.SiteDialect;
 import org.apricotgauge.model.Checks;
@@ -25,10 +25,10 @@
 public record EntryOptions(
         SiteDialect dialect,
         Reach reach,
-        RepeatPolicy repeatPolicy,
+        RetryPolicy repeatPolicy,
         KeyLimits keyLimits,
-        RetryPool entryRetries,
-        RetryPool guardRetries) {
+        RetryAllowancePolicy entryRetries,
+        RetryAllowancePolicy guardRetries) {
 
     /** Which ways lead to a target. */
     public enum Reach {
@@ -60,9 +60,9 @@
         return new EntryOptions(
                 FleetDialect.INSTANCE,
                 Reach.ANY_WAY,
-                RepeatPolicy.DEFAULT,
+                RetryPolicy.DEFAULT,
                 keyLimits,
-                RetryPool.PER_NODE,
-                RetryPool.UNBOUNDED);
+                RetryAllowancePolicy.PER_NODE,
+                RetryAllowancePolicy.UNBOUNDED);
     }
 }
--- a/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
@@ -7,12 +7,12 @@
 import org.apricotgauge.decision.admission.Patience;
 import org.apricotgauge.decision.attempt.Attempt;
 import org.apricotgauge.decision.attempt.FenceAnswer;
-import org.apricotgauge.decision.attempt.GuardSighting;
+import org.apricotgauge.decision.attempt.GuardClockEstimate;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
 import org.apricotgauge.decision.attempt.UnknownReason;
 import org.apricotgauge.decision.detection.ObservedOutcome;
-import org.apricotgauge.decision.health.HealthOutlook;
+import org.apricotgauge.decision.health.DegradationEstimate;
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.http.Bodies;
 import org.apricotgauge.http.ForwardedHeaders;
@@ -90,7 +90,7 @@
         mExchange.attemptEnded(this, new Outcome.NotRun(NotRunReason.NEVER_SENT, 0));
     }
 
-    private void sendTo(GuardSighting sighting) {
+    private void sendTo(GuardClockEstimate sighting) {
         long leftMillis = mExchange.leftMillis();
         if (leftMillis <= 0) {
             over();
@@ -98,7 +98,8 @@
         }
         long untilMillis =
                 mExchange.deadlineMillis() - Math.min(MARGIN_MILLIS, leftMillis / MARGIN_PART);
-        mAttempt = sighting.address(mContext.ids().next(), mContext.ticker().millis(), untilMillis);
+        mAttempt =
+                sighting.newAttempt(mContext.ids().next(), mContext.ticker().millis(), untilMillis);
         awaitWord(firstWordMillis());
         mUpstream = UpstreamExchange.send(hopRequest(leftMillis), this);
     }
@@ -237,8 +238,8 @@
             String limit = headers.get(HeaderNames.TARGET_LIMIT);
             mCandidate.load().reportLimit(StartLimit.parseOrNone(limit).orElse(null));
         }
-        HealthOutlook.Told.parse(headers.get(HeaderNames.HEALTH))
-                .map(told -> told.heardAt(mContext.ticker().millis()))
+        DegradationEstimate.Report.parse(headers.get(HeaderNames.HEALTH))
+                .map(told -> told.receivedAt(mContext.ticker().millis()))
                 .ifPresent(mCandidate.load()::reportHealth);
     }
 
--- a/src/main/java/org/apricotgauge/caller/KeyHomes.java
+++ b/src/main/java/org/apricotgauge/caller/KeyHomes.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 import org.apricotgauge.decision.attempt.IdempotencyKey;
-import org.apricotgauge.decision.attempt.KeyHome;
+import org.apricotgauge.decision.attempt.KeyOwner;
 import org.apricotgauge.decision.routing.ServiceTable;
 
 /**
@@ -47,10 +47,10 @@
         List<String> present = targetIds(table);
         synchronized (history) {
             note(history.mEras, present, nowMillis);
-            String home = KeyHome.of(key, present);
+            String home = KeyOwner.of(key, present);
             long sinceMillis = Long.MIN_VALUE;
             for (Era era : history.mEras) {
-                if (!era.targetIds().isEmpty() && !KeyHome.of(key, era.targetIds()).equals(home)) {
+                if (!era.targetIds().isEmpty() && !KeyOwner.of(key, era.targetIds()).equals(home)) {
                     return sinceMillis;
                 }
                 sinceMillis = era.sinceMillis();
--- a/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.apricotgauge.decision.attempt.Attempt;
-import org.apricotgauge.decision.attempt.GuardSighting;
+import org.apricotgauge.decision.attempt.GuardClockEstimate;
 import org.apricotgauge.decision.attempt.IdempotencyKey;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
@@ -59,7 +59,7 @@
                         });
     }
 
-    private void sendTo(GuardSighting sighting) {
+    private void sendTo(GuardClockEstimate sighting) {
         Attempt attempt = mExchange.addressAtHome(sighting, mExchange.deadlineMillis());
         long leftMillis = Math.max(1, mExchange.leftMillis());
         org.eclipse.jetty.server.Request from = mExchange.request();
--- a/src/main/java/org/apricotgauge/caller/KeyedRequests.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedRequests.java
@@ -3,8 +3,8 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import org.apricotgauge.decision.attempt.IdempotencyKey;
 import org.apricotgauge.decision.attempt.IdempotencyLedger;
+import org.apricotgauge.decision.attempt.KeyDecision;
 import org.apricotgauge.decision.attempt.KeyLimits;
-import org.apricotgauge.decision.attempt.KeyVerdict;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
 import org.apricotgauge.decision.attempt.StoredAnswer;
@@ -30,7 +30,7 @@
     private static final int RETRY_AFTER_SECONDS = 1;
 
     private final EntryContext mContext;
-    private final KeyLimits.NewHomePolicy mNewHomePolicy;
+    private final KeyLimits.NewOwnerPolicy mNewHomePolicy;
     private final IdempotencyLedger mLedger;
     private final KeyHomes mHomes;
 
@@ -43,7 +43,7 @@
 
     KeyedRequests(EntryContext context, KeyLimits limits) {
         mContext = context;
-        mNewHomePolicy = limits.newHomePolicy();
+        mNewHomePolicy = limits.newOwnerPolicy();
         mLedger = new IdempotencyLedger(limits, context.ticker().millis());
         mHomes = new KeyHomes(limits.retentionMillis());
     }
@@ -67,16 +67,16 @@
             Runner runner) {
         long nowMillis = mContext.ticker().millis();
         long sinceMillis = mHomes.homeSinceMillis(key, table, nowMillis);
-        KeyVerdict verdict =
+        KeyDecision verdict =
                 mLedger.begin(
                         key,
                         fingerprint(request),
                         sinceMillis,
                         nowMillis,
-                        predecessors ? KeyLimits.NewHomePolicy.RUN : mNewHomePolicy);
-        if (verdict instanceof KeyVerdict.Run) {
+                        predecessors ? KeyLimits.NewOwnerPolicy.RUN : mNewHomePolicy);
+        if (verdict instanceof KeyDecision.Execute) {
             run(key, request, response, callback, runner);
-        } else if (verdict instanceof KeyVerdict.Done done) {
+        } else if (verdict instanceof KeyDecision.Replay done) {
             replay(done.answer(), response, callback);
         } else {
             refuse(verdict, response, callback);
@@ -100,7 +100,7 @@
                         },
                         cause -> {
                             keeper.stopHeartbeat();
-                            mLedger.uncertain(key, mContext.ticker().millis());
+                            mLedger.outcomeUnknown(key, mContext.ticker().millis());
                             callback.failed(cause);
                         });
         keeper.acknowledge().whenComplete((written, failure) -> runner.run(keeper, ended));
@@ -114,7 +114,7 @@
         } else if (HeaderNames.OUTCOME_NOT_RUN.equals(outcome)) {
             mLedger.notRun(key);
         } else {
-            mLedger.uncertain(key, nowMillis);
+            mLedger.outcomeUnknown(key, nowMillis);
         }
     }
 
@@ -129,7 +129,7 @@
     }
 
     private static void replay(StoredAnswer answer, Response response, Callback callback) {
-        if (!answer.isWhole()) {
+        if (!answer.isComplete()) {
             conflict(response, callback, "this key was answered before; the answer is not kept");
             return;
         }
@@ -140,23 +140,23 @@
         response.write(true, answer.body().duplicate(), callback);
     }
 
-    private static void refuse(KeyVerdict verdict, Response response, Callback callback) {
-        if (verdict instanceof KeyVerdict.Running) {
+    private static void refuse(KeyDecision verdict, Response response, Callback callback) {
+        if (verdict instanceof KeyDecision.InProgress) {
             response.getHeaders().put(HttpHeader.RETRY_AFTER, RETRY_AFTER_SECONDS);
             conflict(response, callback, "this key is running now");
-        } else if (verdict instanceof KeyVerdict.Conflict) {
+        } else if (verdict instanceof KeyDecision.Conflict) {
             Bodies.writeText(
                     response,
                     callback,
                     HttpStatus.UNPROCESSABLE_ENTITY_422,
                     IdempotencyKey.HEADER + " was used for another request\n");
-        } else if (verdict instanceof KeyVerdict.HistoryUnknown unknown) {
+        } else if (verdict instanceof KeyDecision.HistoryUnknown unknown) {
             Outcomes.write(
                     response,
                     callback,
                     new Outcome.NotRun(
                             NotRunReason.KEY_HISTORY_UNKNOWN, unknown.retryAfterMillis()));
-        } else if (verdict instanceof KeyVerdict.Full full) {
+        } else if (verdict instanceof KeyDecision.LedgerFull full) {
             Outcomes.write(
                     response,
                     callback,
--- a/src/main/java/org/apricotgauge/decision/attempt/Attempt.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/Attempt.java
@@ -30,11 +30,11 @@
     /**
      * Returns a further attempt of the same submission, bound to the same run and time as this one.
      *
-     * <p>For {@link RetryDecision.SendToSameGuard}. A later time, taken from a clock that stood
+     * <p>For {@link RetryDecision.RetryAtSameGuard}. A later time, taken from a clock that stood
      * still meanwhile, could outlive the guard's memory of the key, and the request would run
      * again.
      */
-    public Attempt again(AttemptId newId) {
+    public Attempt withId(AttemptId newId) {
         return new Attempt(newId, guardIncarnation, latestStartMillis);
     }
 
@@ -43,8 +43,8 @@
         int idEnd = text.indexOf(SEPARATOR);
         int incarnationEnd = text.indexOf(SEPARATOR, idEnd + 1);
         if (idEnd < 0
-                || !NumberText.isHex(text, idEnd + 1, incarnationEnd)
-                || !NumberText.isDecimal(text, incarnationEnd + 1, text.length(), true)) {
+                || !NumberParser.isHex(text, idEnd + 1, incarnationEnd)
+                || !NumberParser.isDecimal(text, incarnationEnd + 1, text.length(), true)) {
             return Optional.empty();
         }
         Optional<AttemptId> id = AttemptId.parse(text.substring(0, idEnd));
@@ -54,7 +54,7 @@
         return Optional.of(
                 new Attempt(
                         id.get(),
-                        NumberText.hex(text, idEnd + 1, incarnationEnd),
+                        NumberParser.parseHex(text, idEnd + 1, incarnationEnd),
                         Long.parseLong(text, incarnationEnd + 1, text.length(), DECIMAL)));
     }
 
--- a/src/main/java/org/apricotgauge/decision/attempt/Arrival.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptAdmission.java
@@ -1,7 +1,7 @@
 package org.apricotgauge.decision.attempt;
 
 /** The ledger's verdict on an attempt that arrives at a guard. */
-public enum Arrival {
+public enum AttemptAdmission {
     /** It may go on to the queue; nothing of it has gone to the target. */
     ADMITTED(false),
     /** It was fenced or withdrawn before; it never starts. */
@@ -24,7 +24,7 @@
 
     private final boolean mProvesNotRun;
 
-    Arrival(boolean provesNotRun) {
+    AttemptAdmission(boolean provesNotRun) {
         mProvesNotRun = provesNotRun;
     }
 
--- a/src/main/java/org/apricotgauge/decision/attempt/AttemptId.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptId.java
@@ -30,8 +30,8 @@
         int nodeEnd = text.indexOf(SEPARATOR);
         int incarnationEnd = text.indexOf(SEPARATOR, nodeEnd + 1);
         if (nodeEnd < 0
-                || !NumberText.isHex(text, nodeEnd + 1, incarnationEnd)
-                || !NumberText.isDecimal(text, incarnationEnd + 1, text.length(), false)) {
+                || !NumberParser.isHex(text, nodeEnd + 1, incarnationEnd)
+                || !NumberParser.isDecimal(text, incarnationEnd + 1, text.length(), false)) {
             return Optional.empty();
         }
         String node = text.substring(0, nodeEnd);
@@ -41,7 +41,7 @@
         return Optional.of(
                 new AttemptId(
                         node,
-                        NumberText.hex(text, nodeEnd + 1, incarnationEnd),
+                        NumberParser.parseHex(text, nodeEnd + 1, incarnationEnd),
                         Long.parseLong(text, incarnationEnd + 1, text.length(), DECIMAL)));
     }
 
--- a/src/main/java/org/apricotgauge/decision/attempt/AttemptIds.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptIdGenerator.java
@@ -13,13 +13,13 @@
  *
  * <p>Safe to share between threads.
  */
-public final class AttemptIds {
+public final class AttemptIdGenerator {
     private final String mEntryNode;
     private final long mIncarnation;
     private final AtomicLong mCounter = new AtomicLong();
 
     /** Takes the node's identifier and the random number of this run of its process. */
-    public AttemptIds(String entryNode, long incarnation) {
+    public AttemptIdGenerator(String entryNode, long incarnation) {
         mEntryNode = Checks.id("entryNode", entryNode);
         mIncarnation = incarnation;
     }
--- a/src/main/java/org/apricotgauge/decision/attempt/AttemptLedger.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptLedger.java
@@ -49,10 +49,10 @@
     private final long mIncarnation;
     private final AttemptLimits mLimits;
     private final Map<Attempt, Entry> mEntries = new HashMap<>();
-    private final PriorityQueue<Entry> mEnded =
+    private final PriorityQueue<Entry> mEndedEntries =
             new PriorityQueue<>(Comparator.comparingLong(Entry::latestStartMillis));
-    private int mLive;
-    private long mNowMillis = Long.MIN_VALUE;
+    private int mInFlight;
+    private long mLatestMillis = Long.MIN_VALUE;
 
     // An entry dropped for lack of room leaves this trace: whatever is not in the table and starts
     // no later may be the one dropped. Without it a fence would call a completed attempt "not run".
@@ -73,34 +73,38 @@
         return new GuardStamp(mIncarnation, nowMillis);
     }
 
-    /** Decides on an attempt that arrives; only {@link Arrival#ADMITTED} may go further. */
-    public synchronized Arrival admit(Attempt attempt, long nowMillis) {
+    /**
+     * Decides on an attempt that arrives; only {@link AttemptAdmission#ADMITTED} may go further.
+     */
+    public synchronized AttemptAdmission admit(Attempt attempt, long nowMillis) {
         // A restarted guard remembers no fence that its predecessor promised; an attempt that was
         // held up on the way would run after its caller was told "not run".
         if (attempt.guardIncarnation() != mIncarnation) {
-            return Arrival.OTHER_INCARNATION;
+            return AttemptAdmission.OTHER_INCARNATION;
         }
         advance(nowMillis);
         Entry known = mEntries.get(attempt);
         if (known != null) {
-            return known.mState == State.FENCED ? Arrival.FENCED : Arrival.DUPLICATE;
+            return known.mState == State.FENCED
+                    ? AttemptAdmission.FENCED
+                    : AttemptAdmission.DUPLICATE;
         }
         if (mayHaveForgotten(attempt)) {
-            return Arrival.FORGOTTEN;
+            return AttemptAdmission.FORGOTTEN;
         }
-        if (attempt.latestStartMillis() < mNowMillis) {
-            return Arrival.EXPIRED;
+        if (attempt.latestStartMillis() < mLatestMillis) {
+            return AttemptAdmission.EXPIRED;
         }
         if (isTooFarAhead(attempt)) {
-            return Arrival.TOO_FAR_AHEAD;
+            return AttemptAdmission.TOO_FAR_AHEAD;
         }
-        if (mLive >= mLimits.maxLive()) {
+        if (mInFlight >= mLimits.maxInFlight()) {
             addFenced(attempt);
-            return Arrival.FULL;
+            return AttemptAdmission.FULL;
         }
         mEntries.put(attempt, new Entry(attempt));
-        mLive++;
-        return Arrival.ADMITTED;
+        mInFlight++;
+        return AttemptAdmission.ADMITTED;
     }
 
     /**
@@ -108,15 +112,15 @@
      *
      * <p>Unlike {@link #admit} it leaves no trace and does not tell copies apart.
      */
-    public synchronized Arrival check(Attempt attempt, long nowMillis) {
+    public synchronized AttemptAdmission check(Attempt attempt, long nowMillis) {
         if (attempt.guardIncarnation() != mIncarnation) {
-            return Arrival.OTHER_INCARNATION;
+            return AttemptAdmission.OTHER_INCARNATION;
         }
         advance(nowMillis);
-        if (attempt.latestStartMillis() < mNowMillis) {
-            return Arrival.EXPIRED;
+        if (attempt.latestStartMillis() < mLatestMillis) {
+            return AttemptAdmission.EXPIRED;
         }
-        return isTooFarAhead(attempt) ? Arrival.TOO_FAR_AHEAD : Arrival.ADMITTED;
+        return isTooFarAhead(attempt) ? AttemptAdmission.TOO_FAR_AHEAD : AttemptAdmission.ADMITTED;
     }
 
     /**
@@ -178,7 +182,7 @@
         advance(nowMillis);
         Entry entry = mEntries.get(attempt);
         if (entry != null) {
-            return fenceKnown(entry);
+            return fenceExisting(entry);
         }
         if (mayHaveForgotten(attempt) || isTooFarAhead(attempt)) {
             return FenceAnswer.FORGOTTEN;
@@ -192,7 +196,7 @@
         return mEntries.size();
     }
 
-    private FenceAnswer fenceKnown(Entry entry) {
+    private FenceAnswer fenceExisting(Entry entry) {
         return switch (entry.mState) {
             case ADMITTED -> {
                 end(entry, State.FENCED);
@@ -215,37 +219,37 @@
     private void addFenced(Attempt attempt) {
         Entry entry = new Entry(attempt);
         mEntries.put(attempt, entry);
-        mLive++;
+        mInFlight++;
         end(entry, State.FENCED);
     }
 
     private void end(Entry entry, State state) {
         entry.mState = state;
-        mLive--;
-        mEnded.add(entry);
-        while (mEnded.size() > mLimits.maxEnded()) {
-            Entry dropped = mEnded.remove();
+        mInFlight--;
+        mEndedEntries.add(entry);
+        while (mEndedEntries.size() > mLimits.maxEnded()) {
+            Entry dropped = mEndedEntries.remove();
             mEntries.remove(dropped.mAttempt);
             mForgottenUpToMillis = Math.max(mForgottenUpToMillis, dropped.latestStartMillis());
         }
     }
 
     private void advance(long nowMillis) {
-        mNowMillis = Math.max(mNowMillis, nowMillis);
-        while (!mEnded.isEmpty() && isPastGrace(mEnded.peek().mAttempt)) {
-            mEntries.remove(mEnded.remove().mAttempt);
+        mLatestMillis = Math.max(mLatestMillis, nowMillis);
+        while (!mEndedEntries.isEmpty() && isPastGracePeriod(mEndedEntries.peek().mAttempt)) {
+            mEntries.remove(mEndedEntries.remove().mAttempt);
         }
     }
 
     private boolean mayHaveForgotten(Attempt attempt) {
-        return attempt.latestStartMillis() <= mForgottenUpToMillis || isPastGrace(attempt);
+        return attempt.latestStartMillis() <= mForgottenUpToMillis || isPastGracePeriod(attempt);
     }
 
-    private boolean isPastGrace(Attempt attempt) {
-        return attempt.latestStartMillis() + mLimits.graceMillis() < mNowMillis;
+    private boolean isPastGracePeriod(Attempt attempt) {
+        return attempt.latestStartMillis() + mLimits.graceMillis() < mLatestMillis;
     }
 
     private boolean isTooFarAhead(Attempt attempt) {
-        return attempt.latestStartMillis() > mNowMillis + mLimits.maxLifetimeMillis();
+        return attempt.latestStartMillis() > mLatestMillis + mLimits.maxLifetimeMillis();
     }
 }
--- a/src/main/java/org/apricotgauge/decision/attempt/AttemptLimits.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptLimits.java
@@ -5,13 +5,14 @@
 /**
  * Bounds on the memory of an {@link AttemptLedger}.
  *
- * @param maxLive attempts under way at once; more are refused
+ * @param maxInFlight attempts under way at once; more are refused
  * @param maxEnded ended attempts remembered; beyond it the earliest are forgotten, safely
  * @param maxLifetimeMillis how far ahead an attempt's latest start may lie
  * @param graceMillis how long past its latest start an attempt is remembered, for fences that
  *     arrive late; a fence later than that is answered "forgotten"
  */
-public record AttemptLimits(int maxLive, int maxEnded, long maxLifetimeMillis, long graceMillis) {
+public record AttemptLimits(
+        int maxInFlight, int maxEnded, long maxLifetimeMillis, long graceMillis) {
     /** Bounds for a guard beside a target with up to ten slots: about 8 MB at the most. */
     public static final AttemptLimits DEFAULT = new AttemptLimits(4_096, 32_768, 120_000, 10_000);
 
@@ -19,7 +20,7 @@
 
     /** Checks the parts. */
     public AttemptLimits {
-        Checks.inRange("maxLive", maxLive, 1, 1_000_000);
+        Checks.inRange("maxLive", maxInFlight, 1, 1_000_000);
         Checks.inRange("maxEnded", maxEnded, 1, 10_000_000);
         Checks.inRange("maxLifetimeMillis", maxLifetimeMillis, 1, MAX_MILLIS);
         Checks.inRange("graceMillis", graceMillis, 0, MAX_MILLIS);
--- a/src/main/java/org/apricotgauge/decision/attempt/GuardSighting.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/GuardClockEstimate.java
@@ -15,14 +15,14 @@
  * compares only its own clock with the number in the attempt.
  *
  * @param stamp what the guard said
- * @param seenAtMillis the entry's own clock when the stamp arrived
+ * @param receivedAtMillis the entry's own clock when the stamp arrived
  */
-public record GuardSighting(GuardStamp stamp, long seenAtMillis) {
+public record GuardClockEstimate(GuardStamp stamp, long receivedAtMillis) {
     // A guard refuses what may start later than it remembers; its clock reads more than estimated.
-    private static final long MAX_LEFT_MILLIS = AttemptLimits.DEFAULT.maxLifetimeMillis();
+    private static final long MAX_LIFETIME_MILLIS = AttemptLimits.DEFAULT.maxLifetimeMillis();
 
     /** Checks the stamp. */
-    public GuardSighting {
+    public GuardClockEstimate {
         Checks.notNull("stamp", stamp);
     }
 
@@ -34,18 +34,18 @@
      * @param deadlineMillis the request's deadline by the entry's clock; a longer time than {@link
      *     AttemptLimits#maxLifetimeMillis} is cut to that for the start, not for the answer
      */
-    public Attempt address(AttemptId id, long nowMillis, long deadlineMillis) {
-        long guardNowMillis = stamp.guardMillis() + (nowMillis - seenAtMillis);
+    public Attempt newAttempt(AttemptId id, long nowMillis, long deadlineMillis) {
+        long guardNowMillis = stamp.guardMillis() + (nowMillis - receivedAtMillis);
         long leftMillis = Math.max(0, deadlineMillis - nowMillis);
-        long latestStartMillis = guardNowMillis + Math.min(leftMillis, MAX_LEFT_MILLIS);
+        long latestStartMillis = guardNowMillis + Math.min(leftMillis, MAX_LIFETIME_MILLIS);
         return new Attempt(id, stamp.incarnation(), latestStartMillis);
     }
 
     /** Returns the later of two sightings; a stamp that arrives out of order changes nothing. */
-    public GuardSighting merge(GuardSighting other) {
+    public GuardClockEstimate merge(GuardClockEstimate other) {
         if (stamp.incarnation() == other.stamp.incarnation()) {
             return other.stamp.guardMillis() > stamp.guardMillis() ? other : this;
         }
-        return other.seenAtMillis >= seenAtMillis ? other : this;
+        return other.receivedAtMillis >= receivedAtMillis ? other : this;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/attempt/GuardStamp.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/GuardStamp.java
@@ -22,13 +22,13 @@
     /** Returns the stamp that the text gives, or nothing if the text is malformed. */
     public static Optional<GuardStamp> parse(String text) {
         int incarnationEnd = text.indexOf(SEPARATOR);
-        if (!NumberText.isHex(text, 0, incarnationEnd)
-                || !NumberText.isDecimal(text, incarnationEnd + 1, text.length(), true)) {
+        if (!NumberParser.isHex(text, 0, incarnationEnd)
+                || !NumberParser.isDecimal(text, incarnationEnd + 1, text.length(), true)) {
             return Optional.empty();
         }
         return Optional.of(
                 new GuardStamp(
-                        NumberText.hex(text, 0, incarnationEnd),
+                        NumberParser.parseHex(text, 0, incarnationEnd),
                         Long.parseLong(text, incarnationEnd + 1, text.length(), DECIMAL)));
     }
 
--- a/src/main/java/org/apricotgauge/decision/attempt/IdempotencyLedger.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/IdempotencyLedger.java
@@ -24,8 +24,8 @@
 
     private enum State {
         RUNNING,
-        DONE,
-        UNCERTAIN
+        COMPLETED,
+        OUTCOME_UNKNOWN
     }
 
     private static final class Entry {
@@ -44,78 +44,78 @@
     private final KeyLimits mLimits;
     private final long mStartedAtMillis;
     private final Map<IdempotencyKey, Entry> mEntries = new HashMap<>();
-    private final Deque<Entry> mEnded = new ArrayDeque<>();
-    private final Deque<Entry> mWithBody = new ArrayDeque<>();
-    private long mKeptBytes;
-    private long mNowMillis;
+    private final Deque<Entry> mEndedEntries = new ArrayDeque<>();
+    private final Deque<Entry> mEntriesWithBody = new ArrayDeque<>();
+    private long mStoredBytes;
+    private long mLatestMillis;
 
     /** Takes the bounds and the time at which the process began to remember. */
     public IdempotencyLedger(KeyLimits limits, long startedAtMillis) {
         mLimits = Checks.notNull("limits", limits);
         mStartedAtMillis = startedAtMillis;
-        mNowMillis = startedAtMillis;
+        mLatestMillis = startedAtMillis;
     }
 
     /**
-     * Decides on a submission; only {@link KeyVerdict.Run} may run.
+     * Decides on a submission; only {@link KeyDecision.Execute} may run.
      *
      * @param fingerprint hash of what makes the request the same: method, target URI, length
      * @param homeSinceMillis when the configuration made this target the key's home, or any time
      *     before the start of the process if it always was
      */
-    public synchronized KeyVerdict begin(
+    public synchronized KeyDecision begin(
             IdempotencyKey key, long fingerprint, long homeSinceMillis, long nowMillis) {
-        return begin(key, fingerprint, homeSinceMillis, nowMillis, mLimits.newHomePolicy());
+        return begin(key, fingerprint, homeSinceMillis, nowMillis, mLimits.newOwnerPolicy());
     }
 
     /** Decides on a submission as the other form does, with a policy for this one submission. */
-    public synchronized KeyVerdict begin(
+    public synchronized KeyDecision begin(
             IdempotencyKey key,
             long fingerprint,
             long homeSinceMillis,
             long nowMillis,
-            KeyLimits.NewHomePolicy newHomePolicy) {
+            KeyLimits.NewOwnerPolicy newHomePolicy) {
         advance(nowMillis);
         Entry known = mEntries.get(key);
         if (known != null) {
-            return verdictOnKnown(known, fingerprint);
+            return decideExisting(known, fingerprint);
         }
         // A fresh guard can't tell a first submission from one that its predecessor ran. Running
         // it would book twice; refusing costs this key's share of traffic for the retention.
         long knowsFromMillis =
                 Math.max(mStartedAtMillis, homeSinceMillis) + mLimits.retentionMillis();
-        if (newHomePolicy == KeyLimits.NewHomePolicy.REFUSE && mNowMillis < knowsFromMillis) {
-            return new KeyVerdict.HistoryUnknown(knowsFromMillis - mNowMillis);
+        if (newHomePolicy == KeyLimits.NewOwnerPolicy.REFUSE && mLatestMillis < knowsFromMillis) {
+            return new KeyDecision.HistoryUnknown(knowsFromMillis - mLatestMillis);
         }
         if (mEntries.size() >= mLimits.maxKeys()) {
-            return new KeyVerdict.Full(millisToOldestExpiry());
+            return new KeyDecision.LedgerFull(millisToOldestExpiry());
         }
         mEntries.put(key, new Entry(key, fingerprint));
-        return new KeyVerdict.Run();
+        return new KeyDecision.Execute();
     }
 
     /** Records the answer of the target; the key replays it until the retention has passed. */
     public synchronized void completed(IdempotencyKey key, StoredAnswer answer, long nowMillis) {
-        Entry entry = running(key);
-        end(entry, State.DONE, nowMillis);
+        Entry entry = runningEntry(key);
+        end(entry, State.COMPLETED, nowMillis);
         entry.mAnswer = answer;
-        if (answer.keptBytes() > 0) {
-            mKeptBytes += answer.keptBytes();
-            mWithBody.add(entry);
+        if (answer.storedBytes() > 0) {
+            mStoredBytes += answer.storedBytes();
+            mEntriesWithBody.add(entry);
         }
-        while (mKeptBytes > mLimits.maxBodyBytes()) {
-            dropBody(mWithBody.remove());
+        while (mStoredBytes > mLimits.maxBodyBytes()) {
+            dropBody(mEntriesWithBody.remove());
         }
     }
 
     /** Records that it started and no whole answer came; the key never runs again. */
-    public synchronized void uncertain(IdempotencyKey key, long nowMillis) {
-        end(running(key), State.UNCERTAIN, nowMillis);
+    public synchronized void outcomeUnknown(IdempotencyKey key, long nowMillis) {
+        end(runningEntry(key), State.OUTCOME_UNKNOWN, nowMillis);
     }
 
     /** Records the proof that it did not run; the next submission of the key may. */
     public synchronized void notRun(IdempotencyKey key) {
-        running(key);
+        runningEntry(key);
         mEntries.remove(key);
     }
 
@@ -124,18 +124,18 @@
         return mEntries.size();
     }
 
-    private KeyVerdict verdictOnKnown(Entry entry, long fingerprint) {
+    private KeyDecision decideExisting(Entry entry, long fingerprint) {
         if (entry.mFingerprint != fingerprint) {
-            return new KeyVerdict.Conflict();
+            return new KeyDecision.Conflict();
         }
         return switch (entry.mState) {
-            case RUNNING -> new KeyVerdict.Running();
-            case DONE -> new KeyVerdict.Done(entry.mAnswer);
-            case UNCERTAIN -> new KeyVerdict.Uncertain();
+            case RUNNING -> new KeyDecision.InProgress();
+            case COMPLETED -> new KeyDecision.Replay(entry.mAnswer);
+            case OUTCOME_UNKNOWN -> new KeyDecision.OutcomeUnknown();
         };
     }
 
-    private Entry running(IdempotencyKey key) {
+    private Entry runningEntry(IdempotencyKey key) {
         Entry entry = mEntries.get(key);
         if (entry == null || entry.mState != State.RUNNING) {
             throw new IllegalStateException("key ended that was not running: " + key);
@@ -146,32 +146,32 @@
     private void end(Entry entry, State state, long nowMillis) {
         advance(nowMillis);
         entry.mState = state;
-        entry.mEndedAtMillis = mNowMillis;
-        mEnded.add(entry);
+        entry.mEndedAtMillis = mLatestMillis;
+        mEndedEntries.add(entry);
     }
 
     private void advance(long nowMillis) {
-        mNowMillis = Math.max(mNowMillis, nowMillis);
-        while (!mEnded.isEmpty() && expiryMillis(mEnded.peek()) < mNowMillis) {
-            Entry expired = mEnded.remove();
+        mLatestMillis = Math.max(mLatestMillis, nowMillis);
+        while (!mEndedEntries.isEmpty() && expiryMillis(mEndedEntries.peek()) < mLatestMillis) {
+            Entry expired = mEndedEntries.remove();
             mEntries.remove(expired.mKey);
             // Both queues are in the order of ending, so an expired body is always the first.
-            if (mWithBody.peek() == expired) {
-                dropBody(mWithBody.remove());
+            if (mEntriesWithBody.peek() == expired) {
+                dropBody(mEntriesWithBody.remove());
             }
         }
     }
 
     private void dropBody(Entry entry) {
-        mKeptBytes -= entry.mAnswer.keptBytes();
+        mStoredBytes -= entry.mAnswer.storedBytes();
         entry.mAnswer = entry.mAnswer.dropBody();
     }
 
     private long millisToOldestExpiry() {
-        if (mEnded.isEmpty()) {
+        if (mEndedEntries.isEmpty()) {
             return mLimits.retentionMillis();
         }
-        return Math.max(1, expiryMillis(mEnded.peek()) - mNowMillis);
+        return Math.max(1, expiryMillis(mEndedEntries.peek()) - mLatestMillis);
     }
 
     private long expiryMillis(Entry entry) {
--- a/src/main/java/org/apricotgauge/decision/attempt/RepeatHeader.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/IdempotentHeader.java
@@ -1,7 +1,7 @@
 package org.apricotgauge.decision.attempt;
 
 /** What the caller says of one request, in the header {@value #HEADER}. */
-public enum RepeatHeader {
+public enum IdempotentHeader {
     /** The header is absent or malformed. */
     ABSENT,
     /** The caller says that the request may run more than once. */
@@ -13,7 +13,7 @@
     public static final String HEADER = "Apricotgauge-Repeatable";
 
     /** Returns what the header's value says; null stands for no header. */
-    public static RepeatHeader parse(String value) {
+    public static IdempotentHeader parse(String value) {
         if (value == null) {
             return ABSENT;
         }
--- a/src/main/java/org/apricotgauge/decision/attempt/KeyHome.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/KeyOwner.java
@@ -15,8 +15,8 @@
  * too. Were the choice to follow health, two entries with different views would send the same key
  * to two guards, and both would run it. A key whose home can't serve is refused, not moved.
  */
-public final class KeyHome {
-    private KeyHome() {}
+public final class KeyOwner {
+    private KeyOwner() {}
 
     /**
      * Returns the identifier with the highest hash; the order of the list does not matter.
--- a/src/main/java/org/apricotgauge/decision/attempt/NumberText.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/NumberParser.java
@@ -1,14 +1,14 @@
 package org.apricotgauge.decision.attempt;
 
 /** Reads the bounded numbers that headers between nodes are made of; each hop reads several. */
-final class NumberText {
+final class NumberParser {
     /** Every number of so many decimal digits fits into 63 bits. */
     private static final int MAX_DECIMAL_DIGITS = 18;
 
     private static final int MAX_HEX_DIGITS = 16;
     private static final int HEX = 16;
 
-    private NumberText() {}
+    private NumberParser() {}
 
     /** Returns whether a part of a text is 1 to 16 lower-case hexadecimal digits. */
     static boolean isHex(String text, int from, int to) {
@@ -43,7 +43,7 @@
     }
 
     /** Returns the number of a part for which {@link #isHex} holds. */
-    static long hex(String text, int from, int to) {
+    static long parseHex(String text, int from, int to) {
         return Long.parseUnsignedLong(text, from, to, HEX);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryPool.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryAllowancePolicy.java
@@ -15,47 +15,47 @@
  * at one entry while another was out of it (of what was allowed less than a fifth was used).
  */
 @FunctionalInterface
-public interface RetryPool {
+public interface RetryAllowancePolicy {
     /** Bounds for a site that bounds no sum: ten at once and one a second for each node. */
-    RetryPool PER_NODE = sharers -> new Extra(10, 1, Saving.AT_ONCE);
+    RetryAllowancePolicy PER_NODE = sharers -> new Allowance(10, 1, InitialFill.FULL);
 
     /** Bounds nothing; for the end of the path where somebody else counts. */
-    RetryPool UNBOUNDED = sharers -> new Extra(100_000, 1_000, Saving.AT_ONCE);
+    RetryAllowancePolicy UNBOUNDED = sharers -> new Allowance(100_000, 1_000, InitialFill.FULL);
 
     /**
      * Returns what a node may let through at present beside its share of the requests.
      *
      * @param sharers how many nodes share the fleet's part
      */
-    Extra extra(int sharers);
+    Allowance allowance(int sharers);
 
     /**
      * What a node may retry beside its share of the requests.
      *
      * @param burst retries that may be saved up, at least 1
      * @param perSecond retries allowed each second whatever the traffic
-     * @param saving from when on they are saved up
+     * @param initialFill from when on they are saved up
      */
-    record Extra(double burst, double perSecond, Saving saving) {
+    record Allowance(double burst, double perSecond, InitialFill initialFill) {
         /**
          * Makes a budget.
          *
          * @param share retries for each request, from 0 to 1
          * @param startedMillis when the process started
          */
-        RetryBudget budget(double share, long startedMillis) {
-            return saving == Saving.AT_ONCE
+        RetryBudget newBudget(double share, long startedMillis) {
+            return initialFill == InitialFill.FULL
                     ? new RetryBudget(share, burst, perSecond)
-                    : RetryBudget.savingSince(startedMillis, share, burst, perSecond);
+                    : RetryBudget.startingEmpty(startedMillis, share, burst, perSecond);
         }
     }
 
     /** From when on retries are saved up. */
-    enum Saving {
+    enum InitialFill {
         /** A fresh process has its savings. */
-        AT_ONCE,
+        FULL,
         /** A fresh process has none. */
-        SINCE_START
+        EMPTY
     }
 
     /**
@@ -68,12 +68,13 @@
      * @param perWindow retries that all nodes together may make in a window
      * @param windowSeconds length of the window
      */
-    static RetryPool ofFleet(double perWindow, double windowSeconds) {
+    static RetryAllowancePolicy ofFleet(double perWindow, double windowSeconds) {
         Checks.inRange("perWindow", perWindow, 0.0, 1_000_000.0);
         Checks.inRange("windowSeconds", windowSeconds, 1.0, 3_600.0);
         return sharers -> {
             double part = perWindow / Math.max(1, sharers);
-            return new Extra(Math.max(1, part / 2), part / 2 / windowSeconds, Saving.SINCE_START);
+            return new Allowance(
+                    Math.max(1, part / 2), part / 2 / windowSeconds, InitialFill.EMPTY);
         };
     }
 }
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryBudget.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryBudget.java
@@ -17,14 +17,14 @@
  * lets a service with little traffic retry at all. Atomics only; safe to share.
  */
 public final class RetryBudget {
-    private static final long TOKEN = 1_000_000;
+    private static final long UNITS_PER_TOKEN = 1_000_000;
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    private final long mDeposit;
+    private final long mTokensPerRequest;
     private final long mCapacity;
-    private final long mTricklePerMilli;
+    private final long mRefillPerMilli;
     private final AtomicLong mTokens;
-    private final AtomicLong mTrickledAtMillis = new AtomicLong(Long.MIN_VALUE);
+    private final AtomicLong mRefilledAtMillis = new AtomicLong(Long.MIN_VALUE);
 
     /**
      * Takes the bounds.
@@ -34,19 +34,19 @@
      * @param minPerSecond retries allowed each second whatever the traffic
      */
     public RetryBudget(double share, double burst, double minPerSecond) {
-        mDeposit = Math.round(Checks.inRange("share", share, 0, 1) * TOKEN);
-        mCapacity = Math.round(Checks.inRange("burst", burst, 1.0, 100_000.0) * TOKEN);
-        mTricklePerMilli =
+        mTokensPerRequest = Math.round(Checks.inRange("share", share, 0, 1) * UNITS_PER_TOKEN);
+        mCapacity = Math.round(Checks.inRange("burst", burst, 1.0, 100_000.0) * UNITS_PER_TOKEN);
+        mRefillPerMilli =
                 Math.round(
                         Checks.inRange("minPerSecond", minPerSecond, 0.0, 1_000.0)
-                                * TOKEN
+                                * UNITS_PER_TOKEN
                                 / MILLIS_PER_SECOND);
         mTokens = new AtomicLong(mCapacity);
     }
 
     /** Returns the budget of a service that the configuration does not name: there is none. */
     public static RetryBudget none() {
-        return savingSince(0, 0, 1, 0);
+        return startingEmpty(0, 0, 1, 0);
     }
 
     /**
@@ -54,46 +54,49 @@
      *
      * @param sinceMillis since when retries have been saved up; the process's start
      */
-    public static RetryBudget savingSince(
+    public static RetryBudget startingEmpty(
             long sinceMillis, double share, double burst, double minPerSecond) {
         RetryBudget budget = new RetryBudget(share, burst, minPerSecond);
         budget.mTokens.set(0);
-        budget.mTrickledAtMillis.set(sinceMillis);
+        budget.mRefilledAtMillis.set(sinceMillis);
         return budget;
     }
 
     /** Counts a first attempt. */
     public void onRequest() {
-        deposit(mDeposit);
+        deposit(mTokensPerRequest);
     }
 
     /** Takes the budget of one retry if it is there. */
     public boolean tryRetry(long nowMillis) {
-        trickle(nowMillis);
-        long before = mTokens.getAndUpdate(tokens -> tokens >= TOKEN ? tokens - TOKEN : tokens);
-        return before >= TOKEN;
+        refill(nowMillis);
+        long before =
+                mTokens.getAndUpdate(
+                        tokens -> tokens >= UNITS_PER_TOKEN ? tokens - UNITS_PER_TOKEN : tokens);
+        return before >= UNITS_PER_TOKEN;
     }
 
     /** Takes the budget of one retry if at least half of all that can be saved up is there. */
-    public boolean tryRetryOfMany(long nowMillis) {
-        trickle(nowMillis);
-        long least = Math.max(TOKEN, mCapacity / 2);
-        long before = mTokens.getAndUpdate(tokens -> tokens >= least ? tokens - TOKEN : tokens);
+    public boolean tryRetryIfHalfFull(long nowMillis) {
+        refill(nowMillis);
+        long least = Math.max(UNITS_PER_TOKEN, mCapacity / 2);
+        long before =
+                mTokens.getAndUpdate(tokens -> tokens >= least ? tokens - UNITS_PER_TOKEN : tokens);
         return before >= least;
     }
 
     /** Takes the budget of a retry that happens in any case; the next ones pay for it. */
     public void charge() {
-        mTokens.updateAndGet(tokens -> Math.max(-mCapacity, tokens - TOKEN));
+        mTokens.updateAndGet(tokens -> Math.max(-mCapacity, tokens - UNITS_PER_TOKEN));
     }
 
-    private void trickle(long nowMillis) {
-        long beforeMillis = mTrickledAtMillis.getAndAccumulate(nowMillis, Math::max);
+    private void refill(long nowMillis) {
+        long beforeMillis = mRefilledAtMillis.getAndAccumulate(nowMillis, Math::max);
         if (beforeMillis == Long.MIN_VALUE || nowMillis <= beforeMillis) {
             return;
         }
         long elapsedMillis = Math.min(nowMillis - beforeMillis, mCapacity);
-        deposit(Math.min(mCapacity, elapsedMillis * mTricklePerMilli));
+        deposit(Math.min(mCapacity, elapsedMillis * mRefillPerMilli));
     }
 
     private void deposit(long amount) {
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryBudgets.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryBudgetRegistry.java
@@ -5,19 +5,20 @@
 import org.apricotgauge.model.Service;
 
 /** The retry budget of each service; a service whose bounds change starts a new one. */
-public final class RetryBudgets {
+public final class RetryBudgetRegistry {
     private static final double ALL_PERCENT = 100.0;
 
-    private final RetryPool mPool;
-    private final long mStartedMillis;
+    private final RetryAllowancePolicy mAllowancePolicy;
+    private final long mStartedAtMillis;
     private final ConcurrentMap<String, Entry> mBudgets = new ConcurrentHashMap<>();
 
-    private record Entry(int percent, RetryPool.Extra extra, RetryBudget budget) {}
+    private record Entry(
+            int percent, RetryAllowancePolicy.Allowance allowance, RetryBudget budget) {}
 
     /** Creates budgets that save up since the process started. */
-    public RetryBudgets(RetryPool pool, long startedMillis) {
-        mStartedMillis = startedMillis;
-        mPool = pool;
+    public RetryBudgetRegistry(RetryAllowancePolicy pool, long startedMillis) {
+        mStartedAtMillis = startedMillis;
+        mAllowancePolicy = pool;
     }
 
     /**
@@ -27,10 +28,14 @@
      */
     public RetryBudget of(Service service, int sharers) {
         int percent = service.retryBudgetPercent();
-        RetryPool.Extra extra = mPool.extra(sharers);
+        RetryAllowancePolicy.Allowance extra = mAllowancePolicy.allowance(sharers);
         Entry entry = mBudgets.get(service.id());
-        if (entry == null || entry.percent() != percent || !entry.extra().equals(extra)) {
-            entry = new Entry(percent, extra, extra.budget(percent / ALL_PERCENT, mStartedMillis));
+        if (entry == null || entry.percent() != percent || !entry.allowance().equals(extra)) {
+            entry =
+                    new Entry(
+                            percent,
+                            extra,
+                            extra.newBudget(percent / ALL_PERCENT, mStartedAtMillis));
             mBudgets.put(service.id(), entry);
         }
         return entry.budget();
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryDecision.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryDecision.java
@@ -4,14 +4,14 @@
 public sealed interface RetryDecision {
 
     /** Sends a new attempt; any target will do unless the request has a key. */
-    record SendAgain() implements RetryDecision {}
+    record Retry() implements RetryDecision {}
 
     /**
      * Sends a new attempt with the same key to the same run of the same guard, whose memory of the
-     * key keeps it from running twice; address it with {@link Attempt#again} of the first attempt
+     * key keeps it from running twice; address it with {@link Attempt#withId} of the first attempt
      * that may have run.
      */
-    record SendToSameGuard() implements RetryDecision {}
+    record RetryAtSameGuard() implements RetryDecision {}
 
     /**
      * Tells the caller at once.
--- a/src/main/java/org/apricotgauge/decision/attempt/RepeatPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryPolicy.java
@@ -18,11 +18,11 @@
  * unknown one is not idempotent.
  *
  * @param maxAttempts attempts of one submission, the first included
- * @param minLeftMillis with less time left to the deadline nothing is sent again
+ * @param minRemainingMillis with less time left to the deadline nothing is sent again
  */
-public record RepeatPolicy(int maxAttempts, long minLeftMillis) {
+public record RetryPolicy(int maxAttempts, long minRemainingMillis) {
     /** Up to three attempts, the last with 20 ms to go at the least. */
-    public static final RepeatPolicy DEFAULT = new RepeatPolicy(3, 20);
+    public static final RetryPolicy DEFAULT = new RetryPolicy(3, 20);
 
     private static final Set<String> IDEMPOTENT_METHODS =
             Set.of("GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE");
@@ -31,9 +31,9 @@
     private static final Set<Integer> RETRYABLE_STATUSES = Set.of(500, 502, 503, 504);
 
     /** Checks the parts. */
-    public RepeatPolicy {
+    public RetryPolicy {
         Checks.inRange("maxAttempts", maxAttempts, 1, 10);
-        Checks.inRange("minLeftMillis", minLeftMillis, 0, 60_000);
+        Checks.inRange("minLeftMillis", minRemainingMillis, 0, 60_000);
     }
 
     /**
@@ -42,17 +42,19 @@
      * <p>A "no" in the route or in the header always wins: a caller may narrow what the operator
      * allows, and may widen it only where the operator left it to the method.
      */
-    public static boolean isRepeatable(String method, Repeatability route, RepeatHeader header) {
-        if (route == Repeatability.NEVER || header == RepeatHeader.NO) {
+    public static boolean isIdempotent(
+            String method, Repeatability route, IdempotentHeader header) {
+        if (route == Repeatability.NEVER || header == IdempotentHeader.NO) {
             return false;
         }
         return route == Repeatability.ALWAYS
-                || header == RepeatHeader.YES
+                || header == IdempotentHeader.YES
                 || IDEMPOTENT_METHODS.contains(method);
     }
 
     /** Decides what follows an attempt of a request whose runs nothing else bounds. */
-    public RetryDecision decide(Progress progress, long leftMillis, BooleanSupplier budget) {
+    public RetryDecision decide(
+            SubmissionProgress progress, long leftMillis, BooleanSupplier budget) {
         return decide(progress, leftMillis, maxAttempts, budget);
     }
 
@@ -64,16 +66,16 @@
      * @param budget asked at most once, and only when everything else allows another attempt
      */
     public RetryDecision decide(
-            Progress progress, long leftMillis, int maxRuns, BooleanSupplier budget) {
-        Checks.notNull("progress.last", progress.last());
-        RetryDecision wish = wish(progress);
+            SubmissionProgress progress, long leftMillis, int maxRuns, BooleanSupplier budget) {
+        Checks.notNull("progress.last", progress.lastOutcome());
+        RetryDecision wish = decideByOutcome(progress);
         if (wish instanceof RetryDecision.Finish) {
             return wish;
         }
         boolean mayGoOn =
                 progress.attempts() < maxAttempts
-                        && progress.runs() < maxRuns
-                        && leftMillis >= minLeftMillis
+                        && progress.possibleRuns() < maxRuns
+                        && leftMillis >= minRemainingMillis
                         && budget.getAsBoolean();
         return mayGoOn ? wish : finish(progress);
     }
@@ -87,32 +89,32 @@
      *
      * @param maxRuns most targets that may run the request, as its route says
      */
-    public HealthGate.Caution caution(Progress progress, int maxRuns) {
+    public HealthGate.RiskTolerance riskTolerance(SubmissionProgress progress, int maxRuns) {
         if (progress.attempts() + 1 >= maxAttempts) {
-            return HealthGate.Caution.NONE;
+            return HealthGate.RiskTolerance.NONE;
         }
-        boolean mayFailOnce = progress.repeatable() && progress.runs() + 1 < maxRuns;
-        return mayFailOnce ? HealthGate.Caution.MAY_TRY : HealthGate.Caution.STEADY;
+        boolean mayFailOnce = progress.idempotent() && progress.possibleRuns() + 1 < maxRuns;
+        return mayFailOnce ? HealthGate.RiskTolerance.MAY_TRY : HealthGate.RiskTolerance.STEADY;
     }
 
-    private static RetryDecision wish(Progress progress) {
-        Outcome last = progress.last();
+    private static RetryDecision decideByOutcome(SubmissionProgress progress) {
+        Outcome last = progress.lastOutcome();
         if (last instanceof Outcome.Answered answered) {
-            boolean again = progress.repeatable() && RETRYABLE_STATUSES.contains(answered.status());
-            return again ? new RetryDecision.SendAgain() : finish(progress);
+            boolean again = progress.idempotent() && RETRYABLE_STATUSES.contains(answered.status());
+            return again ? new RetryDecision.Retry() : finish(progress);
         }
         if (isQuarantined(last)) {
             return finish(progress);
         }
-        if (progress.repeatable()) {
-            return new RetryDecision.SendAgain();
+        if (progress.idempotent()) {
+            return new RetryDecision.Retry();
         }
         // A request that must not repeat goes out again only if no attempt so far can have run, or
         // if the guard that may have run it will recognise it by its key.
         if (!progress.mayHaveRun()) {
-            return new RetryDecision.SendAgain();
+            return new RetryDecision.Retry();
         }
-        return progress.hasKey() ? new RetryDecision.SendToSameGuard() : finish(progress);
+        return progress.hasKey() ? new RetryDecision.RetryAtSameGuard() : finish(progress);
     }
 
     private static boolean isQuarantined(Outcome outcome) {
@@ -123,12 +125,12 @@
                 && notRun.reason() == NotRunReason.QUARANTINED;
     }
 
-    private static RetryDecision finish(Progress progress) {
+    private static RetryDecision finish(SubmissionProgress progress) {
         // "Not run" of the last attempt says nothing of an earlier one: a repeatable request that
         // ran and got a 503 would be reported as not run once its retry is refused.
-        if (progress.last() instanceof Outcome.NotRun && progress.mayHaveRun()) {
+        if (progress.lastOutcome() instanceof Outcome.NotRun && progress.mayHaveRun()) {
             return new RetryDecision.Finish(new Outcome.Unknown(UnknownReason.EARLIER_ATTEMPT));
         }
-        return new RetryDecision.Finish(progress.last());
+        return new RetryDecision.Finish(progress.lastOutcome());
     }
 }
--- a/src/main/java/org/apricotgauge/decision/attempt/StoredAnswer.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/StoredAnswer.java
@@ -27,11 +27,11 @@
     }
 
     /** Tells whether the whole body is here. */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return body != null && body.remaining() == bodyBytes;
     }
 
-    int keptBytes() {
+    int storedBytes() {
         return body == null ? 0 : body.remaining();
     }
 
--- a/src/main/java/org/apricotgauge/decision/health/HealthGate.java
+++ b/src/main/java/org/apricotgauge/decision/health/HealthGate.java
@@ -20,34 +20,34 @@
  */
 public final class HealthGate {
     /** From this probability on a target is only tried. */
-    public static final double SUSPECT = 0.5;
+    public static final double SUSPECT_PROBABILITY = 0.5;
 
     /** From this probability on a target gets nothing that must not repeat. */
-    public static final double UNSTEADY = 0.4;
+    public static final double NON_IDEMPOTENT_LIMIT = 0.4;
 
     /**
      * A suspect target is tried once its probability of being sick has fallen to this. Tried right
      * after a failure it fails again, and each try costs one of the retries that the fleet shares.
      */
-    static final double WORTH_A_TRY = 0.75;
+    static final double MAX_PROBE_PROBABILITY = 0.75;
 
     /**
      * From this probability on a request that may repeat, and is beyond its patience, is better off
      * at another target.
      */
-    static final double WORTH_LEAVING = 0.25;
+    static final double MIN_FAILOVER_PROBABILITY = 0.25;
 
     /** Pause between two tries of a suspect target, in milliseconds: the first has to end. */
-    static final long TRY_PAUSE_MILLIS = 300;
+    static final long PROBE_INTERVAL_MILLIS = 300;
 
-    private final HealthFilter mFilter = new HealthFilter();
-    private final FailureTimes mFailureTimes = new FailureTimes();
-    private final RunTimes mRunTimes = new RunTimes();
-    private long mTriedMillis = Long.MIN_VALUE / 2;
-    private long mFailedStartMillis = Long.MIN_VALUE / 2;
+    private final DegradationFilter mFilter = new DegradationFilter();
+    private final FailureTimeHistogram mFailureTimes = new FailureTimeHistogram();
+    private final RunTimeEstimator mRunTimes = new RunTimeEstimator();
+    private long mLastProbeMillis = Long.MIN_VALUE / 2;
+    private long mLastFailedStartMillis = Long.MIN_VALUE / 2;
 
     /** How much of a risk a request may run. */
-    public enum Caution {
+    public enum RiskTolerance {
         /** It must not repeat: it goes to a target that is not suspect, or elsewhere. */
         STEADY,
         /** It may repeat, and so may try a suspect target. */
@@ -57,25 +57,25 @@
     }
 
     /** What it means that a request gets no answer for far longer than its kind. */
-    public enum Silence {
+    public enum TimeoutDiagnosis {
         /** The target is busy. */
         SLOW,
         /** The target may hang; the request is better off elsewhere, if it may repeat. */
-        DOUBTFUL,
+        UNCERTAIN,
         /** The target hangs. */
         HUNG
     }
 
     /** A request at the target; belongs to the gate that made it. */
     public static final class Run {
-        private final String mWork;
+        private final String mWorkKind;
         private final long mStartMillis;
         private long mCheckMillis = Long.MAX_VALUE;
-        private double mAnsweredBefore;
-        private double mFailedBefore;
+        private double mAnsweredShare;
+        private double mFailedShare;
 
         private Run(String work, long startMillis) {
-            mWork = work;
+            mWorkKind = work;
             mStartMillis = startMillis;
         }
 
@@ -88,25 +88,25 @@
         }
 
         /** Returns how likely it is to run for so long at a target that fails a share. */
-        private double silent(double fails) {
-            return 1 - (1 - fails) * mAnsweredBefore - fails * mFailedBefore;
+        private double stillRunningProbability(double fails) {
+            return 1 - (1 - fails) * mAnsweredShare - fails * mFailedShare;
         }
     }
 
     /** Returns whether a request may start at the target now. */
-    public synchronized boolean mayPass(Caution caution, long nowMillis) {
+    public synchronized boolean mayStart(RiskTolerance caution, long nowMillis) {
         Checks.notNull("caution", caution);
-        double sick = mFilter.sickAt(nowMillis);
-        if (caution == Caution.STEADY) {
-            return sick < UNSTEADY;
+        double sick = mFilter.probabilityAt(nowMillis);
+        if (caution == RiskTolerance.STEADY) {
+            return sick < NON_IDEMPOTENT_LIMIT;
         }
-        if (caution == Caution.NONE || sick < SUSPECT) {
+        if (caution == RiskTolerance.NONE || sick < SUSPECT_PROBABILITY) {
             return true;
         }
-        if (sick > WORTH_A_TRY || nowMillis - mTriedMillis < TRY_PAUSE_MILLIS) {
+        if (sick > MAX_PROBE_PROBABILITY || nowMillis - mLastProbeMillis < PROBE_INTERVAL_MILLIS) {
             return false;
         }
-        mTriedMillis = nowMillis;
+        mLastProbeMillis = nowMillis;
         return true;
     }
 
@@ -129,7 +129,9 @@
     private long nextCheckMillis(Run run, long millis) {
         long failureMillis = mFailureTimes.checkMillis();
         long markMillis =
-                mFailureTimes.areSilent() ? mRunTimes.markAfter(run.mWork, millis) : Long.MAX_VALUE;
+                mFailureTimes.areTimeoutsCommon()
+                        ? mRunTimes.nextCheckMillis(run.mWorkKind, millis)
+                        : Long.MAX_VALUE;
         return failureMillis > millis ? Math.min(failureMillis, markMillis) : markMillis;
     }
 
@@ -141,21 +143,25 @@
      * on while most of its kind would have been answered speaks for that, before its patience is
      * over.
      */
-    public synchronized void stillRuns(Run run, long nowMillis) {
+    public synchronized void stillRunning(Run run, long nowMillis) {
         long millis = nowMillis - run.mStartMillis;
         run.mCheckMillis = nextCheckMillis(run, millis);
         if (isOutdated(run)) {
             return;
         }
-        Run before = new Run(run.mWork, run.mStartMillis);
-        before.mAnsweredBefore = run.mAnsweredBefore;
-        before.mFailedBefore = run.mFailedBefore;
-        if (mFailureTimes.areSilent()) {
-            run.mAnsweredBefore =
-                    Math.max(run.mAnsweredBefore, mRunTimes.answeredWithin(run.mWork, millis));
+        Run before = new Run(run.mWorkKind, run.mStartMillis);
+        before.mAnsweredShare = run.mAnsweredShare;
+        before.mFailedShare = run.mFailedShare;
+        if (mFailureTimes.areTimeoutsCommon()) {
+            run.mAnsweredShare =
+                    Math.max(
+                            run.mAnsweredShare,
+                            mRunTimes.answeredShareWithin(run.mWorkKind, millis));
         }
-        run.mFailedBefore = Math.max(run.mFailedBefore, mFailureTimes.within(millis));
-        mFilter.saw(fails -> run.silent(fails) / before.silent(fails), nowMillis);
+        run.mFailedShare = Math.max(run.mFailedShare, mFailureTimes.shareWithin(millis));
+        mFilter.observe(
+                fails -> run.stillRunningProbability(fails) / before.stillRunningProbability(fails),
+                nowMillis);
     }
 
     /**
@@ -164,43 +170,43 @@
      * <p>Where targets fail at once, one that says nothing for long is busy; where they hang, it is
      * sick. Which of the two holds is learned from how the target's failures came.
      */
-    public synchronized Silence overdue(Run run, long nowMillis) {
-        stillRuns(run, nowMillis);
-        if (!mFailureTimes.areSilent()) {
-            return Silence.SLOW;
+    public synchronized TimeoutDiagnosis diagnoseTimeout(Run run, long nowMillis) {
+        stillRunning(run, nowMillis);
+        if (!mFailureTimes.areTimeoutsCommon()) {
+            return TimeoutDiagnosis.SLOW;
         }
-        if (!mRunTimes.knows(run.mWork)) {
-            return Silence.DOUBTFUL;
+        if (!mRunTimes.hasEnoughSamples(run.mWorkKind)) {
+            return TimeoutDiagnosis.UNCERTAIN;
         }
-        double sick = mFilter.sickAt(nowMillis);
-        if (sick < WORTH_LEAVING) {
-            return Silence.SLOW;
+        double sick = mFilter.probabilityAt(nowMillis);
+        if (sick < MIN_FAILOVER_PROBABILITY) {
+            return TimeoutDiagnosis.SLOW;
         }
-        return sick < SUSPECT ? Silence.DOUBTFUL : Silence.HUNG;
+        return sick < SUSPECT_PROBABILITY ? TimeoutDiagnosis.UNCERTAIN : TimeoutDiagnosis.HUNG;
     }
 
     /** Takes in that a request got no answer for as long as somebody waited for it. */
-    public synchronized void endedSilent(Run run, long nowMillis) {
-        mFailureTimes.addSilent();
+    public synchronized void endedWithoutAnswer(Run run, long nowMillis) {
+        mFailureTimes.addTimeout();
         failed(run, nowMillis);
     }
 
     private void failed(Run run, long nowMillis) {
-        mFailedStartMillis = Math.max(mFailedStartMillis, run.mStartMillis);
-        mFilter.saw(fails -> fails / run.silent(fails), nowMillis);
+        mLastFailedStartMillis = Math.max(mLastFailedStartMillis, run.mStartMillis);
+        mFilter.observe(fails -> fails / run.stillRunningProbability(fails), nowMillis);
     }
 
     /** Takes in how a request ended at the target. */
     public synchronized void ended(Run run, boolean failed, long nowMillis) {
         long millis = nowMillis - run.mStartMillis;
         if (failed) {
-            mFailureTimes.add(millis);
+            mFailureTimes.addFailure(millis);
             failed(run, nowMillis);
             return;
         }
-        mRunTimes.answered(run.mWork, millis);
+        mRunTimes.answered(run.mWorkKind, millis);
         if (!isOutdated(run)) {
-            mFilter.saw(fails -> (1 - fails) / run.silent(fails), nowMillis);
+            mFilter.observe(fails -> (1 - fails) / run.stillRunningProbability(fails), nowMillis);
         }
     }
 
@@ -209,19 +215,19 @@
      *
      * @param usefulMillis time within which its answer is of full use
      */
-    public long patienceMillis(String work, long usefulMillis) {
-        return mRunTimes.patienceMillis(work, usefulMillis);
+    public long runTimeoutMillis(String work, long usefulMillis) {
+        return mRunTimes.runTimeoutMillis(work, usefulMillis);
     }
 
     // An answer tells of the moment at which the target took the request. Those of requests that it
     // took before it fell sick come for a second after the first failure, and two of them would
     // clear it.
     private boolean isOutdated(Run run) {
-        return run.mStartMillis < mFailedStartMillis;
+        return run.mStartMillis < mLastFailedStartMillis;
     }
 
     /** Returns how likely the target is to be sick, now and later. */
-    public synchronized HealthOutlook outlook(long nowMillis) {
-        return mFilter.outlook(nowMillis);
+    public synchronized DegradationEstimate estimate(long nowMillis) {
+        return mFilter.estimate(nowMillis);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/routing/TargetLoad.java
+++ b/src/main/java/org/apricotgauge/decision/routing/TargetLoad.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.apricotgauge.decision.admission.Pace;
-import org.apricotgauge.decision.health.HealthOutlook;
+import org.apricotgauge.decision.health.DegradationEstimate;
 import org.apricotgauge.model.StartLimit;
 
 /**
@@ -30,7 +30,7 @@
     private final Pace mDirectPace = new Pace();
     private volatile StartLimit mLimit;
 
-    private volatile HealthOutlook mHealth = HealthOutlook.unknown();
+    private volatile DegradationEstimate mHealth = DegradationEstimate.unknown();
 
     private record Report(int loadPermille, long atNanos) {}
 
@@ -88,7 +88,7 @@
     }
 
     /** Takes how likely the target is to be sick, as its guard told. */
-    public void reportHealth(HealthOutlook health) {
+    public void reportHealth(DegradationEstimate health) {
         mHealth = health;
     }
 
@@ -99,18 +99,18 @@
      * @param nowMillis present time
      */
     public void distrust(double sick, long nowMillis) {
-        mHealth = mHealth.distrusted(sick, nowMillis);
+        mHealth = mHealth.withMinimum(sick, nowMillis);
     }
 
     /** Returns the probability that the target is sick now. */
     public double sick(long nowNanos) {
-        return mHealth.sickAt(TimeUnit.NANOSECONDS.toMillis(nowNanos));
+        return mHealth.probabilityAt(TimeUnit.NANOSECONDS.toMillis(nowNanos));
     }
 
     /** Returns how much likelier than usual the target is to be sick now; less than 0 if less. */
     public double sickBeyondUsual(long nowNanos) {
-        HealthOutlook health = mHealth;
-        return health.sickAt(TimeUnit.NANOSECONDS.toMillis(nowNanos)) - health.usual();
+        DegradationEstimate health = mHealth;
+        return health.probabilityAt(TimeUnit.NANOSECONDS.toMillis(nowNanos)) - health.baseline();
     }
 
     /**
--- a/src/main/java/org/apricotgauge/node/HealthNews.java
+++ b/src/main/java/org/apricotgauge/node/HealthNews.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import org.apricotgauge.decision.health.HealthNewsPolicy;
-import org.apricotgauge.decision.health.HealthOutlook;
+import org.apricotgauge.decision.health.DegradationEstimate;
+import org.apricotgauge.decision.health.HealthReportPolicy;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Target;
 import org.apricotgauge.time.Ticker;
@@ -32,7 +32,7 @@
     private final RoutingState mState;
     private final Ticker mTicker;
     private final String mDomain;
-    private final Map<String, HealthNewsPolicy> mPolicies = new ConcurrentHashMap<>();
+    private final Map<String, HealthReportPolicy> mPolicies = new ConcurrentHashMap<>();
 
     /**
      * How a target is.
@@ -71,19 +71,21 @@
         boolean near =
                 mState.table().configuration().targetsOn(host).stream()
                         .anyMatch(one -> one.failureDomain().equals(mDomain));
-        HealthNewsPolicy policy = policyOf(target);
+        HealthReportPolicy policy = policyOf(target);
         synchronized (policy) {
-            policy.seen(host, near, mTicker.millis());
+            policy.recordUse(host, near, mTicker.millis());
         }
     }
 
     /** Tells whoever should know how a target of this VM is now. */
-    void tell(Target target, HealthOutlook.Told health, int loadPermille) {
-        HealthNewsPolicy policy = policyOf(target);
+    void tell(Target target, DegradationEstimate.Report health, int loadPermille) {
+        HealthReportPolicy policy = policyOf(target);
         List<String> hosts;
         synchronized (policy) {
             long nowMillis = mTicker.millis();
-            hosts = policy.toTell(health.heardAt(nowMillis), loadPermille / PERMILLE, nowMillis);
+            hosts =
+                    policy.hostsToNotify(
+                            health.receivedAt(nowMillis), loadPermille / PERMILLE, nowMillis);
         }
         if (hosts.isEmpty()) {
             return;
@@ -130,8 +132,8 @@
         }
     }
 
-    private HealthNewsPolicy policyOf(Target target) {
-        return mPolicies.computeIfAbsent(target.id(), id -> new HealthNewsPolicy());
+    private HealthReportPolicy policyOf(Target target) {
+        return mPolicies.computeIfAbsent(target.id(), id -> new HealthReportPolicy());
     }
 
     private void hear(Line line) {
@@ -144,8 +146,8 @@
                 .flatMap(service -> service.candidate(line.target()))
                 .ifPresent(
                         candidate -> {
-                            HealthOutlook.Told.parse(line.health())
-                                    .map(told -> told.heardAt(mTicker.millis()))
+                            DegradationEstimate.Report.parse(line.health())
+                                    .map(told -> told.receivedAt(mTicker.millis()))
                                     .ifPresent(candidate.load()::reportHealth);
                             candidate.load().report(line.load(), mTicker.nanos());
                         });
--- a/src/main/java/org/apricotgauge/node/Node.java
+++ b/src/main/java/org/apricotgauge/node/Node.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.apricotgauge.caller.EntryHandler;
 import org.apricotgauge.cli.ProductVersion;
-import org.apricotgauge.decision.attempt.AttemptIds;
+import org.apricotgauge.decision.attempt.AttemptIdGenerator;
 import org.apricotgauge.decision.attempt.AttemptLedger;
 import org.apricotgauge.decision.attempt.AttemptLimits;
 import org.apricotgauge.decision.attempt.KeyLimits;
@@ -145,7 +145,7 @@
                 this::mayAct,
                 new GuardClient(mHttp.forwarding(), mHttp.fencing(), mTicker),
                 mHttp.targets(),
-                new AttemptIds(mProfile.vm().id(), incarnation),
+                new AttemptIdGenerator(mProfile.vm().id(), incarnation),
                 mHttp.scheduler(),
                 mTicker,
                 observer,
--- a/src/main/java/org/apricotgauge/node/NodeObserver.java
+++ b/src/main/java/org/apricotgauge/node/NodeObserver.java
@@ -9,7 +9,7 @@
 import org.apricotgauge.decision.attempt.Outcome;
 import org.apricotgauge.decision.detection.ObservationPoint;
 import org.apricotgauge.decision.detection.ObservedOutcome;
-import org.apricotgauge.decision.health.HealthOutlook;
+import org.apricotgauge.decision.health.DegradationEstimate;
 import org.apricotgauge.event.FenceResult;
 import org.apricotgauge.event.FenceUsed;
 import org.apricotgauge.event.TargetLeaving;
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void healthSeen(Target target, HealthOutlook.Told health, int loadPermille) {
+    public void healthSeen(Target target, DegradationEstimate.Report health, int loadPermille) {
         mNews.get().ifPresent(news -> news.tell(target, health, loadPermille));
     }
 
--- a/src/main/java/org/apricotgauge/node/SidecarSettings.java
+++ b/src/main/java/org/apricotgauge/node/SidecarSettings.java
@@ -11,8 +11,8 @@
 import org.apricotgauge.cli.SettingValues;
 import org.apricotgauge.decision.allotment.Reserve;
 import org.apricotgauge.decision.attempt.KeyLimits;
-import org.apricotgauge.decision.attempt.RepeatPolicy;
-import org.apricotgauge.decision.attempt.RetryPool;
+import org.apricotgauge.decision.attempt.RetryAllowancePolicy;
+import org.apricotgauge.decision.attempt.RetryPolicy;
 import org.apricotgauge.directory.PlatformTimes;
 import org.apricotgauge.http.SiteDialect;
 import org.apricotgauge.log.LogSettings;
@@ -106,7 +106,7 @@
      * measured (279 of 2,485) went to a suspect target for want of tries, and failed. Ten try each
      * target of a service of today.
      */
-    private static final RepeatPolicy REPEATS = new RepeatPolicy(10, 20);
+    private static final RetryPolicy REPEATS = new RetryPolicy(10, 20);
 
     private static final Setting<String> FAILURE_DOMAIN =
             Setting.required(
@@ -291,13 +291,13 @@
                         EntryOptions.Reach.GUARDS_ONLY,
                         REPEATS,
                         KeyLimits.DEFAULT,
-                        RetryPool.UNBOUNDED,
+                        RetryAllowancePolicy.UNBOUNDED,
                         retryPool()));
     }
 
     /** Returns the node's part of the retries that the whole fleet may make. */
-    private RetryPool retryPool() {
-        return RetryPool.ofFleet(retryBurst * EXTRA_PART, retryWindowSeconds);
+    private RetryAllowancePolicy retryPool() {
+        return RetryAllowancePolicy.ofFleet(retryBurst * EXTRA_PART, retryWindowSeconds);
     }
 
     /** Returns the times by which the platform lets targets leave. */
--- a/src/main/java/org/apricotgauge/peer/hop/GuardClient.java
+++ b/src/main/java/org/apricotgauge/peer/hop/GuardClient.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.apricotgauge.decision.attempt.Attempt;
 import org.apricotgauge.decision.attempt.FenceAnswer;
-import org.apricotgauge.decision.attempt.GuardSighting;
+import org.apricotgauge.decision.attempt.GuardClockEstimate;
 import org.apricotgauge.decision.attempt.GuardStamp;
 import org.apricotgauge.http.HeaderNames;
 import org.apricotgauge.http.Hosts;
@@ -51,7 +51,7 @@
     private final HttpClient mForwarding;
     private final HttpClient mFencing;
     private final Ticker mTicker;
-    private final ConcurrentMap<Address, GuardSighting> mSightings = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Address, GuardClockEstimate> mSightings = new ConcurrentHashMap<>();
     private final ConcurrentMap<Address, URI> mUris = new ConcurrentHashMap<>();
     private final ConcurrentMap<Address, Long> mDownUntilMillis = new ConcurrentHashMap<>();
 
@@ -102,8 +102,8 @@
     }
 
     /** Returns the last sighting of a guard, asking it if there is none. */
-    public CompletableFuture<GuardSighting> sighting(Address guard, long timeoutMillis) {
-        GuardSighting known = mSightings.get(guard);
+    public CompletableFuture<GuardClockEstimate> sighting(Address guard, long timeoutMillis) {
+        GuardClockEstimate known = mSightings.get(guard);
         if (known != null) {
             return CompletableFuture.completedFuture(known);
         }
@@ -163,8 +163,8 @@
     }
 
     private void merge(Address guard, GuardStamp stamp) {
-        GuardSighting seen = new GuardSighting(stamp, mTicker.millis());
-        mSightings.merge(guard, seen, GuardSighting::merge);
+        GuardClockEstimate seen = new GuardClockEstimate(stamp, mTicker.millis());
+        mSightings.merge(guard, seen, GuardClockEstimate::merge);
     }
 
     /** Reads a short answer to a control question. */
--- a/src/main/java/org/apricotgauge/target/GuardHandler.java
+++ b/src/main/java/org/apricotgauge/target/GuardHandler.java
@@ -15,16 +15,16 @@
 import org.apricotgauge.decision.admission.AdmissionConfig;
 import org.apricotgauge.decision.admission.Patience;
 import org.apricotgauge.decision.admission.Ticket;
-import org.apricotgauge.decision.attempt.Arrival;
 import org.apricotgauge.decision.attempt.Attempt;
+import org.apricotgauge.decision.attempt.AttemptAdmission;
 import org.apricotgauge.decision.attempt.AttemptLedger;
 import org.apricotgauge.decision.attempt.FenceAnswer;
 import org.apricotgauge.decision.attempt.GuardStamp;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
+import org.apricotgauge.decision.attempt.RetryAllowancePolicy;
 import org.apricotgauge.decision.attempt.RetryBudget;
-import org.apricotgauge.decision.attempt.RetryBudgets;
-import org.apricotgauge.decision.attempt.RetryPool;
+import org.apricotgauge.decision.attempt.RetryBudgetRegistry;
 import org.apricotgauge.decision.attempt.UnknownReason;
 import org.apricotgauge.decision.health.HealthGate;
 import org.apricotgauge.decision.quarantine.QuarantineTable;
@@ -86,7 +86,7 @@
     private final ConcurrentMap<Attempt, GuardedRequest> mRequests = new ConcurrentHashMap<>();
     private final Request.Handler mKeyed;
     private final DirectoryPages mDirectory;
-    private final RetryBudgets mRetries;
+    private final RetryBudgetRegistry mRetries;
     private final AtomicBoolean mExpiring = new AtomicBoolean();
     private volatile boolean mLeaving;
 
@@ -133,13 +133,13 @@
             Request.Handler keyed,
             SiteDialect dialect,
             AdmissionConfig.SlotUse slotUse,
-            RetryPool retries,
+            RetryAllowancePolicy retries,
             QuarantineTable quarantine,
             DirectoryPages directory,
             MetricRegistry registry) {
         mVm = vm;
         mDirectory = directory;
-        mRetries = new RetryBudgets(retries, ticker.millis());
+        mRetries = new RetryBudgetRegistry(retries, ticker.millis());
         mTable = table;
         mKeyed = keyed;
         mContext =
@@ -269,8 +269,8 @@
     private boolean handleKeyed(
             Attempt attempt, Request request, Response response, Callback callback)
             throws Exception {
-        Arrival arrival = mContext.ledger().check(attempt, mContext.ticker().millis());
-        if (arrival == Arrival.ADMITTED) {
+        AttemptAdmission arrival = mContext.ledger().check(attempt, mContext.ticker().millis());
+        if (arrival == AttemptAdmission.ADMITTED) {
             return mKeyed.handle(request, response, callback);
         }
         refuse(arrival, response, callback);
@@ -313,8 +313,8 @@
         mContext.observer()
                 .attemptArrived(target, Request.getRemoteAddr(request), request.getHeaders());
         long nowMillis = mContext.ticker().millis();
-        Arrival arrival = mContext.ledger().admit(attempt, nowMillis);
-        if (arrival != Arrival.ADMITTED) {
+        AttemptAdmission arrival = mContext.ledger().admit(attempt, nowMillis);
+        if (arrival != AttemptAdmission.ADMITTED) {
             refuse(arrival, response, callback);
             return;
         }
@@ -404,14 +404,14 @@
     }
 
     // An entry of an older release names none, and is served as before.
-    private static HealthGate.Caution cautionOf(Request request) {
+    private static HealthGate.RiskTolerance cautionOf(Request request) {
         String word = request.getHeaders().get(HeaderNames.CAUTION);
-        for (HealthGate.Caution caution : HealthGate.Caution.values()) {
+        for (HealthGate.RiskTolerance caution : HealthGate.RiskTolerance.values()) {
             if (caution.name().toLowerCase(Locale.ROOT).equals(word)) {
                 return caution;
             }
         }
-        return HealthGate.Caution.NONE;
+        return HealthGate.RiskTolerance.NONE;
     }
 
     // An entry of an older release names none, and waits as before.
@@ -441,7 +441,7 @@
         Outcomes.write(response, callback, new Outcome.NotRun(reason, 0));
     }
 
-    private void refuse(Arrival arrival, Response response, Callback callback) {
+    private void refuse(AttemptAdmission arrival, Response response, Callback callback) {
         if (!arrival.provesNotRun()) {
             mContext.metrics().unknown().inc();
             Outcomes.write(response, callback, new Outcome.Unknown(UnknownReason.FORGOTTEN));
--- a/src/main/java/org/apricotgauge/target/GuardObserver.java
+++ b/src/main/java/org/apricotgauge/target/GuardObserver.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.apricotgauge.decision.detection.ObservedOutcome;
-import org.apricotgauge.decision.health.HealthOutlook;
+import org.apricotgauge.decision.health.DegradationEstimate;
 import org.apricotgauge.model.SiteView;
 import org.apricotgauge.model.StartLimit;
 import org.apricotgauge.model.Target;
@@ -41,7 +41,7 @@
      * @param health how likely the target is to be sick
      * @param loadPermille requests running and waiting, in permille of its slots
      */
-    void healthSeen(Target target, HealthOutlook.Told health, int loadPermille);
+    void healthSeen(Target target, DegradationEstimate.Report health, int loadPermille);
 
     /** Returns whether what this node knows of the site is young enough to send work by it. */
     boolean isSiteCurrent();
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -48,7 +48,7 @@
     private final Request mRequest;
     private final Response mResponse;
     private final Callback mCallback;
-    private final HealthGate.Caution mCaution;
+    private final HealthGate.RiskTolerance mCaution;
     private final RetryPass mPass;
     private final HopTime mTime;
     private final long mArrivedAtMillis;
@@ -91,7 +91,7 @@
             Request request,
             Response response,
             Callback callback,
-            HealthGate.Caution caution,
+            HealthGate.RiskTolerance caution,
             RetryPass pass) {
         mCaution = caution;
         mArrivedAtMillis = context.ticker().millis();
@@ -277,7 +277,7 @@
     // this one has ended.
     private void answerUnknown() {
         boolean held = heldMillis() > 0;
-        payForNext(mCaution == HealthGate.Caution.MAY_TRY && !held);
+        payForNext(mCaution == HealthGate.RiskTolerance.MAY_TRY && !held);
         mContext.observer().beforeAnswer(mGate.target(), mResponse.getHeaders());
         Outcome.Unknown outcome =
                 new Outcome.Unknown(held ? UnknownReason.QUARANTINED : UnknownReason.STARTED);
@@ -310,7 +310,7 @@
         }
         AnswerStream.copyHead(answer, mResponse);
         payForNext(
-                mCaution == HealthGate.Caution.MAY_TRY
+                mCaution == HealthGate.RiskTolerance.MAY_TRY
                         && HttpStatus.isServerError(answer.getStatus()));
         mResponse.getHeaders().put(Attempt.HEADER, mAttempt.toString());
         if (HttpStatus.isServerError(answer.getStatus()) && hasLostCall()) {
@@ -354,7 +354,7 @@
         if (!shed) {
             mGate.markReplaced();
         }
-        payForNext(mCaution != HealthGate.Caution.NONE);
+        payForNext(mCaution != HealthGate.RiskTolerance.NONE);
         leaveGate(
                 shed ? Result.SHED : Result.CANCELLED,
                 shed ? ObservedOutcome.SHED : ObservedOutcome.CANCELLED);
@@ -424,7 +424,7 @@
     // A target that hangs would hold the request to its deadline, though others could serve it.
     private void hung() {
         UpstreamExchange exchange = mExchange;
-        if (mCaution != HealthGate.Caution.MAY_TRY
+        if (mCaution != HealthGate.RiskTolerance.MAY_TRY
                 || exchange == null
                 || mPhase.get() != Phase.SENDING
                 || mPaidNext
--- a/src/main/java/org/apricotgauge/target/RetryPass.java
+++ b/src/main/java/org/apricotgauge/target/RetryPass.java
@@ -95,7 +95,7 @@
      * those that have.
      */
     boolean tryPayNextOfMany() {
-        return mBudget.tryRetryOfMany(mTicker.millis());
+        return mBudget.tryRetryIfHalfFull(mTicker.millis());
     }
 
     /** Pays for another run of the request; false if the budget is spent. */
--- a/src/main/java/org/apricotgauge/target/RunWatch.java
+++ b/src/main/java/org/apricotgauge/target/RunWatch.java
@@ -56,7 +56,7 @@
         mStartMillis = nowMillis;
         mUntilMillis = leftMillis;
         checkLater(run, 0);
-        long patienceMillis = mGate.health().patienceMillis(work, usefulMillis);
+        long patienceMillis = mGate.health().runTimeoutMillis(work, usefulMillis);
         lookLater(patienceMillis, patienceMillis, whenHung);
         long overdueMicros = mContext.observer().overdueMicros(mGate.target());
         if (overdueMicros < TimeUnit.MILLISECONDS.toMicros(leftMillis)) {
@@ -87,14 +87,15 @@
         if (mObserved.get()) {
             return;
         }
-        HealthGate.Silence silence = mGate.health().overdue(run, mContext.ticker().millis());
-        if (silence == HealthGate.Silence.HUNG) {
+        HealthGate.TimeoutDiagnosis silence =
+                mGate.health().diagnoseTimeout(run, mContext.ticker().millis());
+        if (silence == HealthGate.TimeoutDiagnosis.HUNG) {
             observe(ObservedOutcome.UNRESPONSIVE, TimeUnit.MILLISECONDS.toMicros(atMillis));
         } else {
             tellHealth();
             lookLater(atMillis + patienceMillis / LOOKS, patienceMillis, whenHung);
         }
-        if (silence != HealthGate.Silence.SLOW) {
+        if (silence != HealthGate.TimeoutDiagnosis.SLOW) {
             whenHung.run();
         }
     }
@@ -131,7 +132,7 @@
     private void stillRuns(HealthGate.Run run) {
         if (!mObserved.get()) {
             long nowMillis = mContext.ticker().millis();
-            mGate.health().stillRuns(run, nowMillis);
+            mGate.health().stillRunning(run, nowMillis);
             tellHealth();
             checkLater(run, nowMillis - mStartMillis);
         }
@@ -144,7 +145,7 @@
         switch (outcome) {
             case SUCCESS -> showedHealth((run, now) -> mGate.health().ended(run, false, now));
             case TARGET_ERROR -> showedHealth((run, now) -> mGate.health().ended(run, true, now));
-            case TIMEOUT, UNRESPONSIVE -> showedHealth(mGate.health()::endedSilent);
+            case TIMEOUT, UNRESPONSIVE -> showedHealth(mGate.health()::endedWithoutAnswer);
             default -> {
                 // Load, the path or the caller: nothing about the target's health.
             }
--- a/src/main/java/org/apricotgauge/target/SendCheck.java
+++ b/src/main/java/org/apricotgauge/target/SendCheck.java
@@ -29,12 +29,12 @@
      * @param caution how much of a risk it may run
      * @param pass pays for it if it was sent before
      */
-    NotRunReason atSlot(HealthGate.Caution caution, RetryPass pass) {
+    NotRunReason atSlot(HealthGate.RiskTolerance caution, RetryPass pass) {
         NotRunReason unfit = targetUnfit();
         if (unfit != null) {
             return unfit;
         }
-        if (!mGate.health().mayPass(caution, mContext.ticker().millis())) {
+        if (!mGate.health().mayStart(caution, mContext.ticker().millis())) {
             return NotRunReason.TARGET_SUSPECT;
         }
         return pass.tryPass() ? null : NotRunReason.RETRIES_SPENT;
--- a/src/main/java/org/apricotgauge/target/TargetGate.java
+++ b/src/main/java/org/apricotgauge/target/TargetGate.java
@@ -10,8 +10,8 @@
 import org.apricotgauge.decision.admission.Refusal;
 import org.apricotgauge.decision.admission.Result;
 import org.apricotgauge.decision.admission.Ticket;
+import org.apricotgauge.decision.health.DegradationEstimate;
 import org.apricotgauge.decision.health.HealthGate;
-import org.apricotgauge.decision.health.HealthOutlook;
 import org.apricotgauge.http.HeaderNames;
 import org.apricotgauge.http.Hosts;
 import org.apricotgauge.http.TargetNotice;
@@ -108,11 +108,12 @@
     }
 
     /** Returns how likely the target is to be sick, as others are told. */
-    HealthOutlook.Told healthTold() {
+    DegradationEstimate.Report healthTold() {
         long nowMillis = mTicker.millis();
-        HealthOutlook.Told told = mHealth.outlook(nowMillis).told(nowMillis);
+        DegradationEstimate.Report told = mHealth.estimate(nowMillis).toReport(nowMillis);
         return mReplaced
-                ? new HealthOutlook.Told((int) PERMILLE, told.usualPermille(), told.forgetMillis())
+                ? new DegradationEstimate.Report(
+                        (int) PERMILLE, told.baselinePermille(), told.decayMillis())
                 : told;
     }
 
--- a/src/test/java/org/apricotgauge/caller/TargetChoiceTest.java
+++ b/src/test/java/org/apricotgauge/caller/TargetChoiceTest.java
@@ -10,7 +10,7 @@
 import org.apricotgauge.decision.admission.Patience;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
-import org.apricotgauge.decision.attempt.RepeatPolicy;
+import org.apricotgauge.decision.attempt.RetryPolicy;
 import org.apricotgauge.decision.attempt.UnknownReason;
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.decision.routing.ServiceTable;
@@ -145,7 +145,7 @@
                         new GuardClient(new HttpClient(), new HttpClient(), mTicker),
                         null,
                         null,
-                        RepeatPolicy.DEFAULT,
+                        RetryPolicy.DEFAULT,
                         null,
                         mTicker,
                         null,
--- a/src/test/java/org/apricotgauge/decision/attempt/AttemptLedgerTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/AttemptLedgerTest.java
@@ -6,46 +6,49 @@
 import org.junit.jupiter.api.Test;
 
 class AttemptLedgerTest {
-    private static final long RUN = 0xabcL;
+    private static final long INCARNATION = 0xabcL;
     private static final AttemptLimits LIMITS = new AttemptLimits(2, 3, 1_000, 100);
 
-    private final AttemptLedger mLedger = new AttemptLedger(RUN, LIMITS);
-    private final AttemptIds mIds = new AttemptIds("node-1", 7);
+    private final AttemptLedger mLedger = new AttemptLedger(INCARNATION, LIMITS);
+    private final AttemptIdGenerator mIds = new AttemptIdGenerator("node-1", 7);
 
     @Test
-    void textFormsAreReadBack() {
+    void parsesItsOwnTextForms() {
         Attempt attempt = attempt(-5);
         assertThat(attempt).hasToString("node-1:7:0;abc;-5");
         assertThat(Attempt.parse(attempt.toString())).contains(attempt);
-        assertThat(GuardStamp.parse(mLedger.stamp(9).toString())).contains(new GuardStamp(RUN, 9));
+        assertThat(GuardStamp.parse(mLedger.stamp(9).toString()))
+                .contains(new GuardStamp(INCARNATION, 9));
         assertThat(Attempt.parse("node-1:7:0;abc")).isEmpty();
         assertThat(Attempt.parse("node 1:7:0;abc;5")).isEmpty();
         assertThat(GuardStamp.parse("xyz:1")).isEmpty();
     }
 
     @Test
-    void aSightingAgesWithTheEntrysClockAndCutsLongDeadlines() {
-        GuardSighting sighting = new GuardSighting(new GuardStamp(RUN, 10_000), 500);
-        assertThat(sighting.address(mIds.next(), 700, 1_000).latestStartMillis()).isEqualTo(10_500);
-        assertThat(sighting.address(mIds.next(), 700, 9_000_000).latestStartMillis())
+    void clockEstimateAdvancesAndCutsLongDeadlines() {
+        GuardClockEstimate sighting =
+                new GuardClockEstimate(new GuardStamp(INCARNATION, 10_000), 500);
+        assertThat(sighting.newAttempt(mIds.next(), 700, 1_000).latestStartMillis())
+                .isEqualTo(10_500);
+        assertThat(sighting.newAttempt(mIds.next(), 700, 9_000_000).latestStartMillis())
                 .isEqualTo(10_200 + AttemptLimits.DEFAULT.maxLifetimeMillis());
     }
 
     @Test
-    void aFenceStopsTheLateArrivalAndTheOneThatWaits() {
+    void fenceStopsLateAndQueuedAttempts() {
         Attempt late = attempt(500);
         assertThat(mLedger.fence(late, 0).state()).isEqualTo(FenceAnswer.State.NOT_RUN);
-        assertThat(mLedger.admit(late, 1)).isEqualTo(Arrival.FENCED);
+        assertThat(mLedger.admit(late, 1)).isEqualTo(AttemptAdmission.FENCED);
 
         Attempt waiting = attempt(500);
-        assertThat(mLedger.admit(waiting, 2)).isEqualTo(Arrival.ADMITTED);
+        assertThat(mLedger.admit(waiting, 2)).isEqualTo(AttemptAdmission.ADMITTED);
         assertThat(mLedger.fence(waiting, 3).state()).isEqualTo(FenceAnswer.State.NOT_RUN);
         assertThat(mLedger.started(waiting)).isFalse();
         assertThat(mLedger.withdraw(waiting, 4)).isTrue();
     }
 
     @Test
-    void aFenceTellsWhatStartedAndWhatEnded() {
+    void fenceReportsStartedAndCompletedAttempts() {
         Attempt attempt = attempt(500);
         mLedger.admit(attempt, 0);
         assertThat(mLedger.started(attempt)).isTrue();
@@ -59,15 +62,15 @@
     }
 
     @Test
-    void aFenceWithinTheGraceIsAnsweredAndOneAfterItIsNot() {
+    void fenceIsAnsweredOnlyWithinGracePeriod() {
         Attempt never = attempt(500);
         assertThat(mLedger.fence(never, 600).state()).isEqualTo(FenceAnswer.State.NOT_RUN);
         assertThat(mLedger.fence(attempt(500), 601)).isEqualTo(FenceAnswer.FORGOTTEN);
-        assertThat(mLedger.admit(attempt(550), 601)).isEqualTo(Arrival.EXPIRED);
+        assertThat(mLedger.admit(attempt(550), 601)).isEqualTo(AttemptAdmission.EXPIRED);
     }
 
     @Test
-    void memoryIsBoundedAndWhatWasDroppedIsNeverCalledNotRun() {
+    void evictedAttemptIsNeverReportedAsNotRun() {
         Attempt first = attempt(400);
         mLedger.admit(first, 0);
         mLedger.started(first);
@@ -77,28 +80,28 @@
         }
         assertThat(mLedger.size()).isEqualTo(LIMITS.maxEnded());
         assertThat(mLedger.fence(first, 0)).isEqualTo(FenceAnswer.FORGOTTEN);
-        assertThat(mLedger.admit(first, 0)).isEqualTo(Arrival.FORGOTTEN);
+        assertThat(mLedger.admit(first, 0)).isEqualTo(AttemptAdmission.FORGOTTEN);
     }
 
     @Test
-    void whatIsRememberedByItsKeyIsCheckedForRunAndTimeOnly() {
-        assertThat(mLedger.check(attempt(500), 500)).isEqualTo(Arrival.ADMITTED);
-        assertThat(mLedger.check(attempt(500), 501)).isEqualTo(Arrival.EXPIRED);
-        assertThat(mLedger.check(new Attempt(mIds.next(), RUN + 1, 900), 501))
-                .isEqualTo(Arrival.OTHER_INCARNATION);
+    void checkTestsOnlyIncarnationAndTime() {
+        assertThat(mLedger.check(attempt(500), 500)).isEqualTo(AttemptAdmission.ADMITTED);
+        assertThat(mLedger.check(attempt(500), 501)).isEqualTo(AttemptAdmission.EXPIRED);
+        assertThat(mLedger.check(new Attempt(mIds.next(), INCARNATION + 1, 900), 501))
+                .isEqualTo(AttemptAdmission.OTHER_INCARNATION);
         assertThat(mLedger.size()).isZero();
     }
 
     @Test
-    void moreThanTheBoundUnderWayIsRefused() {
+    void refusesAttemptsBeyondInFlightLimit() {
         mLedger.admit(attempt(500), 0);
         mLedger.admit(attempt(500), 0);
         Attempt third = attempt(500);
-        assertThat(mLedger.admit(third, 0)).isEqualTo(Arrival.FULL);
-        assertThat(mLedger.admit(third, 0)).isEqualTo(Arrival.FENCED);
+        assertThat(mLedger.admit(third, 0)).isEqualTo(AttemptAdmission.FULL);
+        assertThat(mLedger.admit(third, 0)).isEqualTo(AttemptAdmission.FENCED);
     }
 
     private Attempt attempt(long latestStartMillis) {
-        return new Attempt(mIds.next(), RUN, latestStartMillis);
+        return new Attempt(mIds.next(), INCARNATION, latestStartMillis);
     }
 }
--- a/src/test/java/org/apricotgauge/decision/attempt/RetryPoolTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/RetryAllowancePolicyTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Retries of a whole fleet, bounded by nodes that share no counter. */
-class RetryPoolTest {
+class RetryAllowancePolicyTest {
     private static final Service SERVICE =
             new Service("s", 0, new DetectionOdds(1, 1), 20, 100, null);
     private static final int GUARDS = 9;
@@ -19,14 +19,14 @@
     private static final long WINDOW_MILLIS = 10_000;
 
     @Test
-    void theSumOverAllNodesHoldsInEveryWindow() {
+    void fleetTotalHoldsInEveryWindow() {
         // The load: every request of a service fails and each node would retry at once, all the
         // time, after a quiet spell in which it has saved what it may. 45 requests a second arrive,
         // all at one node: the skew that helps one node most.
-        RetryPool pool = RetryPool.ofFleet(PER_WINDOW, 10);
+        RetryAllowancePolicy pool = RetryAllowancePolicy.ofFleet(PER_WINDOW, 10);
         List<RetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < GUARDS; i++) {
-            budgets.add(new RetryBudgets(pool, 0).of(SERVICE, GUARDS));
+            budgets.add(new RetryBudgetRegistry(pool, 0).of(SERVICE, GUARDS));
         }
         Deque<Long> retries = new ArrayDeque<>();
         int most = 0;
@@ -48,9 +48,11 @@
     }
 
     @Test
-    void aFreshProcessHasNothingSaved() {
+    void newProcessStartsWithoutSavedRetries() {
         // A fleet that is killed and restarted would spend its savings twice within one window.
-        RetryBudget budget = new RetryBudgets(RetryPool.ofFleet(62, 10), 5_000).of(SERVICE, GUARDS);
+        RetryBudget budget =
+                new RetryBudgetRegistry(RetryAllowancePolicy.ofFleet(62, 10), 5_000)
+                        .of(SERVICE, GUARDS);
 
         assertThat(budget.tryRetry(5_000)).isFalse();
         assertThat(budget.tryRetry(15_000)).isTrue();
--- a/src/test/java/org/apricotgauge/decision/attempt/RetryBudgetTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/RetryBudgetTest.java
@@ -8,7 +8,7 @@
 class RetryBudgetTest {
 
     @Test
-    void whatHappenedInAnyCaseIsPaidForByTheNextRetries() {
+    void chargedRetriesReduceLaterRetries() {
         // A report is sent again to another target, whose two lookups at this service count as
         // retries here, too. They are let through; the service's own next retries are not.
         RetryBudget budget = new RetryBudget(0.5, 1, 0);
--- a/src/test/java/org/apricotgauge/decision/attempt/RepeatPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/RetryPolicyTest.java
@@ -6,41 +6,48 @@
 import org.apricotgauge.model.Repeatability;
 import org.junit.jupiter.api.Test;
 
-class RepeatPolicyTest {
-    private static final RepeatPolicy POLICY = new RepeatPolicy(3, 20);
+class RetryPolicyTest {
+    private static final RetryPolicy POLICY = new RetryPolicy(3, 20);
     private static final Outcome NOT_RUN = new Outcome.NotRun(NotRunReason.QUEUE_FULL, 5);
     private static final Outcome UNKNOWN = new Outcome.Unknown(UnknownReason.GUARD_UNREACHABLE);
     private static final Outcome SHED = new Outcome.Answered(503);
 
     @Test
-    void aNoAlwaysWins() {
-        assertThat(RepeatPolicy.isRepeatable("GET", Repeatability.BY_METHOD, RepeatHeader.ABSENT))
+    void refusalByRouteOrHeaderTakesPrecedence() {
+        assertThat(
+                        RetryPolicy.isIdempotent(
+                                "GET", Repeatability.BY_METHOD, IdempotentHeader.ABSENT))
                 .isTrue();
-        assertThat(RepeatPolicy.isRepeatable("POST", Repeatability.BY_METHOD, RepeatHeader.ABSENT))
+        assertThat(
+                        RetryPolicy.isIdempotent(
+                                "POST", Repeatability.BY_METHOD, IdempotentHeader.ABSENT))
                 .isFalse();
-        assertThat(RepeatPolicy.isRepeatable("POST", Repeatability.BY_METHOD, RepeatHeader.YES))
+        assertThat(RetryPolicy.isIdempotent("POST", Repeatability.BY_METHOD, IdempotentHeader.YES))
                 .isTrue();
-        assertThat(RepeatPolicy.isRepeatable("GET", Repeatability.NEVER, RepeatHeader.YES))
+        assertThat(RetryPolicy.isIdempotent("GET", Repeatability.NEVER, IdempotentHeader.YES))
                 .isFalse();
-        assertThat(RepeatPolicy.isRepeatable("POST", Repeatability.ALWAYS, RepeatHeader.NO))
+        assertThat(RetryPolicy.isIdempotent("POST", Repeatability.ALWAYS, IdempotentHeader.NO))
                 .isFalse();
-        assertThat(RepeatPolicy.isRepeatable("get", Repeatability.BY_METHOD, RepeatHeader.ABSENT))
+        assertThat(
+                        RetryPolicy.isIdempotent(
+                                "get", Repeatability.BY_METHOD, IdempotentHeader.ABSENT))
                 .isFalse();
     }
 
     @Test
-    void whatMustNotRepeatGoesOutAgainOnlyWithAProof() {
-        Progress order = Progress.of(false, false);
-        assertThat(decide(order.after(NOT_RUN))).isInstanceOf(RetryDecision.SendAgain.class);
+    void retriesNonIdempotentRequestsOnlyIfProvedNotRun() {
+        SubmissionProgress order = SubmissionProgress.of(false, false);
+        assertThat(decide(order.after(NOT_RUN))).isInstanceOf(RetryDecision.Retry.class);
         assertThat(decide(order.after(UNKNOWN))).isEqualTo(new RetryDecision.Finish(UNKNOWN));
         assertThat(decide(order.after(SHED))).isEqualTo(new RetryDecision.Finish(SHED));
-        Progress keyed = Progress.of(false, true);
-        assertThat(decide(keyed.after(UNKNOWN))).isInstanceOf(RetryDecision.SendToSameGuard.class);
+        SubmissionProgress keyed = SubmissionProgress.of(false, true);
+        assertThat(decide(keyed.after(UNKNOWN))).isInstanceOf(RetryDecision.RetryAtSameGuard.class);
     }
 
     @Test
-    void theLastNotRunDoesNotHideAnEarlierAttempt() {
-        Progress lookup = Progress.of(true, false).after(SHED).after(NOT_RUN).after(NOT_RUN);
+    void lastNotRunDoesNotHideEarlierAttempt() {
+        SubmissionProgress lookup =
+                SubmissionProgress.of(true, false).after(SHED).after(NOT_RUN).after(NOT_RUN);
         assertThat(decide(lookup))
                 .isEqualTo(
                         new RetryDecision.Finish(
@@ -49,14 +56,14 @@
 
     // Guards against one copy of a request that crashes target after target.
     @Test
-    void whatCrashesTargetsIsNotSentAgain() {
+    void doesNotRetryQuarantinedRequests() {
         Outcome refused = new Outcome.NotRun(NotRunReason.QUARANTINED, 600_000);
         Outcome crashed = new Outcome.Unknown(UnknownReason.QUARANTINED);
-        Progress lookup = Progress.of(true, false);
+        SubmissionProgress lookup = SubmissionProgress.of(true, false);
 
         assertThat(decide(lookup.after(refused))).isEqualTo(new RetryDecision.Finish(refused));
         assertThat(decide(lookup.after(crashed))).isEqualTo(new RetryDecision.Finish(crashed));
-        assertThat(decide(Progress.of(false, true).after(crashed)))
+        assertThat(decide(SubmissionProgress.of(false, true).after(crashed)))
                 .isEqualTo(new RetryDecision.Finish(crashed));
         assertThat(decide(lookup.after(UNKNOWN).after(refused)))
                 .isEqualTo(
@@ -65,8 +72,8 @@
     }
 
     @Test
-    void deadlineAndBudgetEndIt() {
-        Progress lookup = Progress.of(true, false).after(UNKNOWN);
+    void stopsAtDeadlineAndWithoutBudget() {
+        SubmissionProgress lookup = SubmissionProgress.of(true, false).after(UNKNOWN);
         assertThat(POLICY.decide(lookup, 19, () -> true))
                 .isEqualTo(new RetryDecision.Finish(UNKNOWN));
         assertThat(POLICY.decide(lookup, 500, () -> false))
@@ -74,7 +81,7 @@
     }
 
     @Test
-    void retriesStayWithinTheirShareOfTheTraffic() {
+    void retriesStayWithinShareOfTraffic() {
         RetryBudget budget = new RetryBudget(0.1, 10, 1);
         int retries = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -87,28 +94,29 @@
     }
 
     @Test
-    void theLastRunOfALookupGoesWhereABookingWouldGo() {
+    void lastRunOfIdempotentRequestTakesNoRisk() {
         // A lookup may fail at a suspect target and be served by another. If that one fails it too,
         // its caller gets a failure though steady targets were there.
-        Progress fresh = Progress.of(true, false);
-        Progress failedOnce = fresh.after(new Outcome.Answered(500));
-        Progress booking = Progress.of(false, false);
+        SubmissionProgress fresh = SubmissionProgress.of(true, false);
+        SubmissionProgress failedOnce = fresh.after(new Outcome.Answered(500));
+        SubmissionProgress booking = SubmissionProgress.of(false, false);
 
-        assertThat(POLICY.caution(fresh, 2)).isEqualTo(HealthGate.Caution.MAY_TRY);
-        assertThat(POLICY.caution(failedOnce, 2)).isEqualTo(HealthGate.Caution.STEADY);
-        assertThat(POLICY.caution(booking, 2)).isEqualTo(HealthGate.Caution.STEADY);
-        assertThat(POLICY.caution(fresh, 1)).isEqualTo(HealthGate.Caution.STEADY);
+        assertThat(POLICY.riskTolerance(fresh, 2)).isEqualTo(HealthGate.RiskTolerance.MAY_TRY);
+        assertThat(POLICY.riskTolerance(failedOnce, 2)).isEqualTo(HealthGate.RiskTolerance.STEADY);
+        assertThat(POLICY.riskTolerance(booking, 2)).isEqualTo(HealthGate.RiskTolerance.STEADY);
+        assertThat(POLICY.riskTolerance(fresh, 1)).isEqualTo(HealthGate.RiskTolerance.STEADY);
     }
 
     @Test
-    void anAttemptBeyondWhichThereIsNoneTakesAnyTarget() {
+    void lastAttemptAcceptsAnyTarget() {
         Outcome bounced = new Outcome.NotRun(NotRunReason.TARGET_SUSPECT, 0);
-        Progress bouncedTwice = Progress.of(false, false).after(bounced).after(bounced);
+        SubmissionProgress bouncedTwice =
+                SubmissionProgress.of(false, false).after(bounced).after(bounced);
 
-        assertThat(POLICY.caution(bouncedTwice, 2)).isEqualTo(HealthGate.Caution.NONE);
+        assertThat(POLICY.riskTolerance(bouncedTwice, 2)).isEqualTo(HealthGate.RiskTolerance.NONE);
     }
 
-    private static RetryDecision decide(Progress progress) {
+    private static RetryDecision decide(SubmissionProgress progress) {
         return POLICY.decide(progress, 500, () -> true);
     }
 }
--- a/src/test/java/org/apricotgauge/decision/health/SpellLoadTest.java
+++ b/src/test/java/org/apricotgauge/decision/health/EpisodeSimulationTest.java
@@ -15,15 +15,15 @@
  * repeat and fails. Without any care it would be the share of sick time times the rate of failures,
  * and 1.2 in 100 more: 26 in 100 in the first row.
  */
-class SpellLoadTest {
+class EpisodeSimulationTest {
     private static final int TARGETS = 15;
     private static final double PER_SECOND = 90;
-    private static final double REPEATABLE = 0.33;
+    private static final double IDEMPOTENT_SHARE = 0.33;
     private static final int SEEDS = 4;
     private static final int HANG_SEEDS = 12;
 
     /** An entry weighs health against load and distance, which leaves it a choice of a few. */
-    private static final int DRAWN = 3;
+    private static final int CANDIDATES = 3;
 
     @ParameterizedTest
     @CsvSource({
@@ -35,9 +35,10 @@
         "60000, 0.05, 0.9, 1, 0.020",
         "2700, 0.3, 0.85, 600, 0.120",
     })
-    void whateverTheLawLittleIsLostToSpells(
+    void fewRequestsFailUnderEveryEpisodeModel(
             double spellMillis, double sickShare, double fails, long failMillis, double bound) {
-        assertThat(failedShare(spellMillis, sickShare, fails, failMillis, DRAWN)).isLessThan(bound);
+        assertThat(failedShare(spellMillis, sickShare, fails, failMillis, CANDIDATES))
+                .isLessThan(bound);
     }
 
     /**
@@ -45,16 +46,18 @@
      * to 0.9 s. Each target gets three requests a second.
      */
     @Test
-    void silenceTellsOfTargetsThatHangBeforePatienceIsOver() {
-        SpellLoad.Law law =
-                new SpellLoad.Law(TARGETS, 2_700, 0.3, 0.85, 1_400, 3 * TARGETS, REPEATABLE);
+    void detectsHungTargetsBeforeRunTimeout() {
+        EpisodeSimulation.Site law =
+                new EpisodeSimulation.Site(
+                        TARGETS, 2_700, 0.3, 0.85, 1_400, 3 * TARGETS, IDEMPOTENT_SHARE);
         double waiting = 0;
         double looking = 0;
         for (int seed = 0; seed < HANG_SEEDS; seed++) {
-            SpellLoad blind = new SpellLoad(law, DRAWN, seed).withHangs().withoutLooks();
-            SpellLoad watching = new SpellLoad(law, DRAWN, seed).withHangs();
-            waiting += blind.run(60, 15).steadyFailedShare() / HANG_SEEDS;
-            looking += watching.run(60, 15).steadyFailedShare() / HANG_SEEDS;
+            EpisodeSimulation blind =
+                    new EpisodeSimulation(law, CANDIDATES, seed).withHangs().withoutChecks();
+            EpisodeSimulation watching = new EpisodeSimulation(law, CANDIDATES, seed).withHangs();
+            waiting += blind.run(60, 15).nonIdempotentFailedShare() / HANG_SEEDS;
+            looking += watching.run(60, 15).nonIdempotentFailedShare() / HANG_SEEDS;
         }
 
         assertThat(looking).isLessThan(0.9 * waiting);
@@ -62,12 +65,20 @@
 
     private static double failedShare(
             double spellMillis, double sickShare, double fails, long failMillis, int drawn) {
-        SpellLoad.Law law =
-                new SpellLoad.Law(
-                        TARGETS, spellMillis, sickShare, fails, failMillis, PER_SECOND, REPEATABLE);
+        EpisodeSimulation.Site law =
+                new EpisodeSimulation.Site(
+                        TARGETS,
+                        spellMillis,
+                        sickShare,
+                        fails,
+                        failMillis,
+                        PER_SECOND,
+                        IDEMPOTENT_SHARE);
         double failed = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            failed += new SpellLoad(law, drawn, seed).run(60, 15).steadyFailedShare() / SEEDS;
+            failed +=
+                    new EpisodeSimulation(law, drawn, seed).run(60, 15).nonIdempotentFailedShare()
+                            / SEEDS;
         }
         return failed;
     }
--- a/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
+++ b/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.within;
 
 import java.util.SplittableRandom;
-import org.apricotgauge.decision.health.HealthGate.Caution;
+import org.apricotgauge.decision.health.HealthGate.RiskTolerance;
 import org.junit.jupiter.api.Test;
 
 /** Targets whose sick spells last seconds, as their guard judges them. */
@@ -13,63 +13,63 @@
     private static final long SECOND = 1_000;
 
     @Test
-    void oneFailureKeepsAwayWhatMustNotRepeat() {
+    void oneFailureKeepsNonIdempotentRequestsAway() {
         // A caller's booking would fail at a target that has just failed another; a second or third
         // failure to be sure would be a second or third lost booking. How long it stays away
         // follows from the spells that the gate has seen: some 2.7 s here.
         HealthGate gate = new HealthGate();
-        long start = play(gate, 240);
+        long start = simulate(gate, 240);
         ended(gate, false, start);
-        assertThat(steady(gate, start + 1)).isTrue();
+        assertThat(maySendNonIdempotent(gate, start + 1)).isTrue();
 
         ended(gate, true, start + 2 * SECOND);
 
-        assertThat(steady(gate, start + 2 * SECOND)).isFalse();
-        assertThat(steady(gate, start + 5 * SECOND)).isFalse();
-        assertThat(steady(gate, start + 12 * SECOND)).isTrue();
+        assertThat(maySendNonIdempotent(gate, start + 2 * SECOND)).isFalse();
+        assertThat(maySendNonIdempotent(gate, start + 5 * SECOND)).isFalse();
+        assertThat(maySendNonIdempotent(gate, start + 12 * SECOND)).isTrue();
     }
 
     @Test
-    void aGateThatHasSeenNoSpellIsCarefulAfterTheFirstFailure() {
+    void firstFailureWithoutHistoryMakesTargetSuspect() {
         HealthGate gate = new HealthGate();
         ended(gate, false, 0);
 
         ended(gate, true, 2 * SECOND);
 
-        assertThat(steady(gate, 3 * SECOND)).isFalse();
+        assertThat(maySendNonIdempotent(gate, 3 * SECOND)).isFalse();
     }
 
     @Test
-    void whatMayRepeatTriesASuspectTargetOnceItMayBeWellAndOneAtATime() {
+    void idempotentRequestsProbeSuspectTargetOneAtATime() {
         // Tried right after its failure, a target fails again, and the retry that this costs is
         // missing elsewhere.
         HealthGate gate = new HealthGate();
         ended(gate, true, 0);
-        assertThat(mayTry(gate, 1)).isFalse();
+        assertThat(mayProbe(gate, 1)).isFalse();
 
         long now = 1;
-        while (!mayTry(gate, now)) {
+        while (!mayProbe(gate, now)) {
             now++;
         }
 
         assertThat(now).isBetween(200L, 8 * SECOND);
-        assertThat(mayTry(gate, now + 1)).isFalse();
-        assertThat(mayTry(gate, now + HealthGate.TRY_PAUSE_MILLIS)).isTrue();
+        assertThat(mayProbe(gate, now + 1)).isFalse();
+        assertThat(mayProbe(gate, now + HealthGate.PROBE_INTERVAL_MILLIS)).isTrue();
     }
 
     @Test
-    void aFewSuccessesEndTheSuspicion() {
+    void fewSuccessesClearSuspicion() {
         HealthGate gate = new HealthGate();
         ended(gate, true, 0);
         ended(gate, false, 100);
         ended(gate, false, 200);
         ended(gate, false, 300);
 
-        assertThat(steady(gate, 301)).isTrue();
+        assertThat(maySendNonIdempotent(gate, 301)).isTrue();
     }
 
     @Test
-    void answersOfRequestsFromBeforeTheSpellDoNotClearTheTarget() {
+    void answersToRequestsFromBeforeEpisodeDoNotClearTarget() {
         // Seven requests are at work when their target falls sick; the next one is reset at once.
         // The seven are answered within the second, and say that the target was well before. Taken
         // for news, they would send bookings into the spell.
@@ -81,31 +81,31 @@
         ended(gate, true, 100);
 
         for (int i = 0; i < before.length; i++) {
-            gate.stillRuns(before[i], 101);
+            gate.stillRunning(before[i], 101);
             gate.ended(before[i], false, 200 + 100 * i);
         }
 
-        assertThat(steady(gate, 900)).isFalse();
+        assertThat(maySendNonIdempotent(gate, 900)).isFalse();
     }
 
     @Test
-    void whereFailuresComeAtOnceARequestThatStillRunsProvesItsTarget() {
+    void stillRunningRequestIsEvidenceWhereFailuresAreFast() {
         HealthGate gate = new HealthGate();
-        long now = play(gate, 60);
+        long now = simulate(gate, 60);
         ended(gate, false, now);
         now += 3 * SECOND;
-        double before = sick(gate, now);
+        double before = probability(gate, now);
 
         HealthGate.Run run = gate.started(now);
         long checkMillis = run.checkMillis();
         assertThat(checkMillis).isLessThan(50);
-        gate.stillRuns(run, now + checkMillis);
+        gate.stillRunning(run, now + checkMillis);
 
-        assertThat(sick(gate, now + checkMillis)).isLessThan(before / 2);
+        assertThat(probability(gate, now + checkMillis)).isLessThan(before / 2);
     }
 
     @Test
-    void whereFailuresTakeAsLongAsAnswersARequestThatStillRunsProvesLittle() {
+    void stillRunningRequestIsWeakEvidenceWhereFailuresAreSlow() {
         HealthGate gate = new HealthGate();
         for (int i = 0; i < 20; i++) {
             HealthGate.Run run = gate.started(i * 10 * SECOND);
@@ -113,57 +113,57 @@
             ended(gate, false, i * 10 * SECOND + 5 * SECOND);
         }
         long now = 203 * SECOND;
-        double before = sick(gate, now);
+        double before = probability(gate, now);
 
         HealthGate.Run run = gate.started(now);
-        gate.stillRuns(run, now + 100);
+        gate.stillRunning(run, now + 100);
 
-        assertThat(sick(gate, now + 100)).isCloseTo(before, within(0.05));
+        assertThat(probability(gate, now + 100)).isCloseTo(before, within(0.05));
     }
 
     // Guards against slow targets that are taken for hung where sick ones fail at once.
     @Test
-    void longSilenceMeansHungOnlyWhereFailuresAreSilent() {
+    void timeoutMeansHungOnlyWhereFailuresAreTimeouts() {
         HealthGate failsAtOnce = new HealthGate();
         HealthGate hangs = new HealthGate();
         for (int i = 0; i < 20; i++) {
             long now = i * 10 * SECOND;
             ended(failsAtOnce, true, now);
-            hangs.endedSilent(hangs.started(now), now + 4 * SECOND);
+            hangs.endedWithoutAnswer(hangs.started(now), now + 4 * SECOND);
             ended(failsAtOnce, false, now + 5 * SECOND);
             ended(hangs, false, now + 5 * SECOND);
         }
         long now = 203 * SECOND;
 
-        assertThat(failsAtOnce.overdue(failsAtOnce.started(now), now + SECOND))
-                .isEqualTo(HealthGate.Silence.SLOW);
-        assertThat(hangs.overdue(hangs.started(now), now + SECOND))
-                .isEqualTo(HealthGate.Silence.HUNG);
+        assertThat(failsAtOnce.diagnoseTimeout(failsAtOnce.started(now), now + SECOND))
+                .isEqualTo(HealthGate.TimeoutDiagnosis.SLOW);
+        assertThat(hangs.diagnoseTimeout(hangs.started(now), now + SECOND))
+                .isEqualTo(HealthGate.TimeoutDiagnosis.HUNG);
     }
 
     @Test
-    void aRequestWithNowhereElseToGoIsLetThrough() {
+    void requestWithoutAlternativeMayStart() {
         HealthGate gate = new HealthGate();
         ended(gate, true, 0);
 
-        assertThat(gate.mayPass(Caution.NONE, 1)).isTrue();
+        assertThat(gate.mayStart(RiskTolerance.NONE, 1)).isTrue();
     }
 
     @Test
-    void withoutNewsAnOutlookReturnsToTheUsualShare() {
+    void estimateDecaysToBaselineWithoutObservations() {
         HealthGate gate = new HealthGate();
         ended(gate, true, 0);
-        HealthOutlook failed = gate.outlook(0);
+        DegradationEstimate failed = gate.estimate(0);
 
-        assertThat(failed.sick()).isGreaterThan(0.75);
-        assertThat(failed.sickAt(600 * SECOND)).isCloseTo(failed.usual(), within(0.001));
-        HealthOutlook.Told told = failed.told(0);
-        assertThat(HealthOutlook.Told.parse(told.toText())).contains(told);
-        assertThat(HealthOutlook.Told.parse("no,such,thing")).isEmpty();
+        assertThat(failed.probability()).isGreaterThan(0.75);
+        assertThat(failed.probabilityAt(600 * SECOND)).isCloseTo(failed.baseline(), within(0.001));
+        DegradationEstimate.Report told = failed.toReport(0);
+        assertThat(DegradationEstimate.Report.parse(told.toText())).contains(told);
+        assertThat(DegradationEstimate.Report.parse("no,such,thing")).isEmpty();
     }
 
     @Test
-    void fewerRequestsFailThanAtAnUnguardedTarget() {
+    void fewerRequestsFailThanWithoutGate() {
         // The load: 4 requests a second at one target that is sick for 2.7 s in 9, when it fails 85
         // in 100, else 1 in 100; each fourth request may repeat. Counted is what must not repeat
         // and fails, of all that came: unguarded about 26 in 100 fail.
@@ -174,11 +174,12 @@
         for (long now = 0; now < 3_600 * SECOND; now += 250) {
             boolean sick = now % (9 * SECOND) < 2_700;
             boolean fails = random.nextDouble() < (sick ? 0.85 : 0.01);
-            Caution caution = random.nextInt(4) == 0 ? Caution.MAY_TRY : Caution.STEADY;
-            if (gate.mayPass(caution, now)) {
+            RiskTolerance caution =
+                    random.nextInt(4) == 0 ? RiskTolerance.MAY_TRY : RiskTolerance.STEADY;
+            if (gate.mayStart(caution, now)) {
                 ended(gate, fails, now);
-                passed += caution == Caution.STEADY ? 1 : 0;
-                failed += caution == Caution.STEADY && fails ? 1 : 0;
+                passed += caution == RiskTolerance.STEADY ? 1 : 0;
+                failed += caution == RiskTolerance.STEADY && fails ? 1 : 0;
             }
         }
 
@@ -186,7 +187,7 @@
     }
 
     /** Four requests a second, which fail for 2.7 s of each 9 s; returns when it ended. */
-    private static long play(HealthGate gate, long seconds) {
+    private static long simulate(HealthGate gate, long seconds) {
         long now = 0;
         for (; now < seconds * SECOND; now += 250) {
             ended(gate, now % (9 * SECOND) < 2_700, now);
@@ -200,15 +201,15 @@
         gate.ended(run, failed, failed ? nowMillis : nowMillis + ANSWER_MILLIS);
     }
 
-    private static boolean steady(HealthGate gate, long nowMillis) {
-        return gate.mayPass(Caution.STEADY, nowMillis);
+    private static boolean maySendNonIdempotent(HealthGate gate, long nowMillis) {
+        return gate.mayStart(RiskTolerance.STEADY, nowMillis);
     }
 
-    private static boolean mayTry(HealthGate gate, long nowMillis) {
-        return gate.mayPass(Caution.MAY_TRY, nowMillis);
+    private static boolean mayProbe(HealthGate gate, long nowMillis) {
+        return gate.mayStart(RiskTolerance.MAY_TRY, nowMillis);
     }
 
-    private static double sick(HealthGate gate, long nowMillis) {
-        return gate.outlook(nowMillis).sickAt(nowMillis);
+    private static double probability(HealthGate gate, long nowMillis) {
+        return gate.estimate(nowMillis).probabilityAt(nowMillis);
     }
 }
--- a/src/test/java/org/apricotgauge/functional/Hops.java
+++ b/src/test/java/org/apricotgauge/functional/Hops.java
@@ -15,15 +15,15 @@
 import org.apricotgauge.caller.EntryOptions;
 import org.apricotgauge.caller.MemberLimits;
 import org.apricotgauge.decision.admission.AdmissionConfig;
-import org.apricotgauge.decision.attempt.AttemptIds;
+import org.apricotgauge.decision.attempt.AttemptIdGenerator;
 import org.apricotgauge.decision.attempt.AttemptLedger;
 import org.apricotgauge.decision.attempt.AttemptLimits;
 import org.apricotgauge.decision.attempt.FenceAnswer;
 import org.apricotgauge.decision.attempt.KeyLimits;
 import org.apricotgauge.decision.attempt.Outcome;
-import org.apricotgauge.decision.attempt.RetryPool;
+import org.apricotgauge.decision.attempt.RetryAllowancePolicy;
 import org.apricotgauge.decision.detection.ObservedOutcome;
-import org.apricotgauge.decision.health.HealthOutlook;
+import org.apricotgauge.decision.health.DegradationEstimate;
 import org.apricotgauge.decision.quarantine.DeafListener;
 import org.apricotgauge.decision.quarantine.QuarantineTable;
 import org.apricotgauge.decision.routing.RoutingTable;
@@ -70,7 +70,7 @@
 
     /** These nodes have no predecessors whose keys they could not know. */
     private static final KeyLimits KEYS =
-            new KeyLimits(1_000, 1_000_000, 600_000, KeyLimits.NewHomePolicy.RUN);
+            new KeyLimits(1_000, 1_000_000, 600_000, KeyLimits.NewOwnerPolicy.RUN);
 
     private static final long DEADLINE_MILLIS = 20_000;
 
@@ -297,7 +297,7 @@
                         new GuardClient(
                                 client(TO_GUARDS, 64), client("fences", 64), Ticker.system()),
                         targets,
-                        new AttemptIds(id, id.hashCode()),
+                        new AttemptIdGenerator(id, id.hashCode()),
                         mScheduler,
                         Ticker.system(),
                         new Blind(vm),
@@ -327,7 +327,7 @@
                         vm.mEntry::handleKeyed,
                         FleetDialect.INSTANCE,
                         AdmissionConfig.SlotUse.SHARED,
-                        RetryPool.UNBOUNDED,
+                        RetryAllowancePolicy.UNBOUNDED,
                         vm.mQuarantine,
                         (revision, waitMillis, compressed) ->
                                 CompletableFuture.completedFuture(new byte[0]),
@@ -427,7 +427,8 @@
         public void attemptArrived(Target target, String entryHost, HttpFields headers) {}
 
         @Override
-        public void healthSeen(Target target, HealthOutlook.Told health, int loadPermille) {}
+        public void healthSeen(
+                Target target, DegradationEstimate.Report health, int loadPermille) {}
 
         @Override
         public void guardAnswered(Target target, HttpFields headers) {}
--- a/src/test/java/org/apricotgauge/functional/attempt/AtMostOnceProperties.java
+++ b/src/test/java/org/apricotgauge/functional/attempt/AtMostOnceProperties.java
@@ -76,7 +76,7 @@
                 .containsKeys("fence NOT_RUN", "fence STARTED", "fence COMPLETED")
                 .containsKeys("fence UNKNOWN_FORGOTTEN", "arrival FENCED", "arrival EXPIRED")
                 .containsKeys("arrival OTHER_INCARNATION", "arrival FORGOTTEN", "start refused")
-                .containsKeys("key Run", "key Running", "key Done", "key Uncertain")
-                .containsKeys("key HistoryUnknown", "offer Queued", "SendToSameGuard");
+                .containsKeys("key Execute", "key InProgress", "key Replay", "key OutcomeUnknown")
+                .containsKeys("key HistoryUnknown", "offer Queued", "RetryAtSameGuard");
     }
 }
--- a/src/test/java/org/apricotgauge/functional/attempt/EntryModel.java
+++ b/src/test/java/org/apricotgauge/functional/attempt/EntryModel.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.apricotgauge.decision.attempt.Attempt;
-import org.apricotgauge.decision.attempt.AttemptIds;
-import org.apricotgauge.decision.attempt.GuardSighting;
+import org.apricotgauge.decision.attempt.AttemptIdGenerator;
+import org.apricotgauge.decision.attempt.GuardClockEstimate;
 import org.apricotgauge.decision.attempt.IdempotencyKey;
-import org.apricotgauge.decision.attempt.KeyHome;
+import org.apricotgauge.decision.attempt.KeyOwner;
 import org.apricotgauge.decision.attempt.Outcome;
-import org.apricotgauge.decision.attempt.RepeatPolicy;
 import org.apricotgauge.decision.attempt.RetryBudget;
 import org.apricotgauge.decision.attempt.RetryDecision;
+import org.apricotgauge.decision.attempt.RetryPolicy;
 import org.apricotgauge.decision.attempt.UnknownReason;
 import org.apricotgauge.functional.attempt.Submission.Exchange;
 
 /** An entry as the node wires it: identifiers, addresses, policy and budget are the real ones. */
 final class EntryModel {
-    private static final RepeatPolicy POLICY = new RepeatPolicy(4, 1);
+    private static final RetryPolicy POLICY = new RetryPolicy(4, 1);
 
     final List<Submission> mOpen = new ArrayList<>();
     boolean mPaused;
@@ -26,9 +26,9 @@
     private final List<GuardModel> mGuards;
     private final Consumer<Message> mNetwork;
     private final Oracle mOracle;
-    private final GuardSighting[] mSightings;
+    private final GuardClockEstimate[] mSightings;
     private final RetryBudget mBudget = new RetryBudget(0.5, 20, 100);
-    private AttemptIds mIds;
+    private AttemptIdGenerator mIds;
     private int mRun;
 
     EntryModel(String name, List<GuardModel> guards, Consumer<Message> network, Oracle oracle) {
@@ -36,20 +36,20 @@
         mGuards = guards;
         mNetwork = network;
         mOracle = oracle;
-        mSightings = new GuardSighting[guards.size()];
+        mSightings = new GuardClockEstimate[guards.size()];
         restart();
     }
 
     /** Crashes and starts again: the connections of its callers break, which tells them nothing. */
     void restart() {
         mPaused = false;
-        mIds = new AttemptIds(mName, ++mRun);
+        mIds = new AttemptIdGenerator(mName, ++mRun);
         mOpen.forEach(s -> mOracle.onTold(s, new Outcome.Unknown(UnknownReason.GUARD_UNREACHABLE)));
         mOpen.clear();
         for (int i = 0; i < mSightings.length; i++) {
             GuardModel guard = mGuards.get(i);
             mSightings[i] =
-                    new GuardSighting(guard.ledger().stamp(guard.mClockMillis), mClockMillis);
+                    new GuardClockEstimate(guard.ledger().stamp(guard.mClockMillis), mClockMillis);
         }
     }
 
@@ -62,7 +62,7 @@
     void onResponse(Message.Response response) {
         Exchange exchange = response.exchange();
         int guard = exchange.guard();
-        GuardSighting seen = new GuardSighting(response.stamp(), mClockMillis);
+        GuardClockEstimate seen = new GuardClockEstimate(response.stamp(), mClockMillis);
         mSightings[guard] = mSightings[guard].merge(seen);
         if (isCurrent(exchange)) {
             if (response.outcome() instanceof Outcome.Answered) {
@@ -120,11 +120,11 @@
                 POLICY.decide(
                         submission.mProgress, leftMillis, () -> mBudget.tryRetry(mClockMillis));
         mOracle.count(next.getClass().getSimpleName());
-        if (next instanceof RetryDecision.SendAgain) {
+        if (next instanceof RetryDecision.Retry) {
             sendAnew(submission, submission.mProgress.attempts());
-        } else if (next instanceof RetryDecision.SendToSameGuard) {
+        } else if (next instanceof RetryDecision.RetryAtSameGuard) {
             Exchange pinned = submission.mPinned;
-            send(submission, pinned.attempt().again(mIds.next()), pinned.guard());
+            send(submission, pinned.attempt().withId(mIds.next()), pinned.guard());
         } else if (next instanceof RetryDecision.Finish finish) {
             mOpen.remove(submission);
             mOracle.onTold(submission, finish.outcome());
@@ -134,7 +134,7 @@
     private void sendAnew(Submission submission, int pick) {
         int guard = submission.mKey == null ? pick % mGuards.size() : homeOf(submission.mKey);
         Attempt attempt =
-                mSightings[guard].address(mIds.next(), mClockMillis, submission.mDeadlineMillis);
+                mSightings[guard].newAttempt(mIds.next(), mClockMillis, submission.mDeadlineMillis);
         send(submission, attempt, guard);
     }
 
@@ -144,6 +144,6 @@
     }
 
     private static int homeOf(IdempotencyKey key) {
-        return Integer.parseInt(KeyHome.of(key, List.of("0", "1")));
+        return Integer.parseInt(KeyOwner.of(key, List.of("0", "1")));
     }
 }
--- a/src/test/java/org/apricotgauge/functional/attempt/GuardModel.java
+++ b/src/test/java/org/apricotgauge/functional/attempt/GuardModel.java
@@ -12,12 +12,12 @@
 import org.apricotgauge.decision.admission.RefusalReason;
 import org.apricotgauge.decision.admission.Result;
 import org.apricotgauge.decision.admission.Ticket;
-import org.apricotgauge.decision.attempt.Arrival;
+import org.apricotgauge.decision.attempt.AttemptAdmission;
 import org.apricotgauge.decision.attempt.AttemptLedger;
 import org.apricotgauge.decision.attempt.AttemptLimits;
 import org.apricotgauge.decision.attempt.IdempotencyLedger;
+import org.apricotgauge.decision.attempt.KeyDecision;
 import org.apricotgauge.decision.attempt.KeyLimits;
-import org.apricotgauge.decision.attempt.KeyVerdict;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
 import org.apricotgauge.decision.attempt.StoredAnswer;
@@ -29,7 +29,7 @@
 /** A guard as the node wires it: the ledgers and the queue are the real ones. */
 final class GuardModel {
     static final AttemptLimits ATTEMPTS = new AttemptLimits(8, 6, 2_000, 200);
-    static final KeyLimits KEYS = new KeyLimits(16, 1_000, 2_000, KeyLimits.NewHomePolicy.REFUSE);
+    static final KeyLimits KEYS = new KeyLimits(16, 1_000, 2_000, KeyLimits.NewOwnerPolicy.REFUSE);
     static final int SLOTS = 2;
 
     /**
@@ -91,12 +91,12 @@
     }
 
     void onRequest(Exchange exchange) {
-        Arrival arrival = mLedger.admit(exchange.attempt(), mClockMillis);
+        AttemptAdmission arrival = mLedger.admit(exchange.attempt(), mClockMillis);
         mOracle.count("arrival " + arrival);
-        if (arrival == Arrival.DUPLICATE) {
+        if (arrival == AttemptAdmission.DUPLICATE) {
             return;
         }
-        if (arrival != Arrival.ADMITTED) {
+        if (arrival != AttemptAdmission.ADMITTED) {
             Outcome refused =
                     arrival.provesNotRun()
                             ? new Outcome.NotRun(NotRunReason.GUARD_RESTARTED, 0)
@@ -115,14 +115,14 @@
 
     private boolean beginKey(Exchange exchange) {
         Submission submission = exchange.submission();
-        KeyVerdict verdict = mKeys.begin(submission.mKey, 7, Long.MIN_VALUE / 2, mClockMillis);
+        KeyDecision verdict = mKeys.begin(submission.mKey, 7, Long.MIN_VALUE / 2, mClockMillis);
         mOracle.count("key " + verdict.getClass().getSimpleName());
-        if (verdict instanceof KeyVerdict.Run) {
+        if (verdict instanceof KeyDecision.Execute) {
             return true;
         }
-        if (verdict instanceof KeyVerdict.HistoryUnknown) {
+        if (verdict instanceof KeyDecision.HistoryUnknown) {
             refuse(exchange, NotRunReason.KEY_HISTORY_UNKNOWN);
-        } else if (verdict instanceof KeyVerdict.Full) {
+        } else if (verdict instanceof KeyDecision.LedgerFull) {
             refuse(exchange, NotRunReason.LEDGER_FULL);
         } else {
             mLedger.withdraw(exchange.attempt(), mClockMillis);
@@ -131,8 +131,8 @@
         return false;
     }
 
-    private void respondToRepeat(Exchange exchange, KeyVerdict verdict) {
-        if (verdict instanceof KeyVerdict.Done done) {
+    private void respondToRepeat(Exchange exchange, KeyDecision verdict) {
+        if (verdict instanceof KeyDecision.Replay done) {
             int answerOf = (int) done.answer().bodyBytes();
             respond(exchange, new Outcome.Answered(done.answer().status()), answerOf);
         } else {
@@ -232,7 +232,7 @@
     private void breakOff(Work work) {
         mLedger.broken(work.mExchange.attempt(), mClockMillis);
         if (work.mExchange.submission().mKey != null) {
-            mKeys.uncertain(work.mExchange.submission().mKey, mClockMillis);
+            mKeys.outcomeUnknown(work.mExchange.submission().mKey, mClockMillis);
         }
         finish(work, Result.CANCELLED);
     }
--- a/src/test/java/org/apricotgauge/functional/attempt/Submission.java
+++ b/src/test/java/org/apricotgauge/functional/attempt/Submission.java
@@ -5,7 +5,7 @@
 import org.apricotgauge.decision.attempt.Attempt;
 import org.apricotgauge.decision.attempt.IdempotencyKey;
 import org.apricotgauge.decision.attempt.Outcome;
-import org.apricotgauge.decision.attempt.Progress;
+import org.apricotgauge.decision.attempt.SubmissionProgress;
 
 /** One request of a caller: what its entry does for it, and what the oracle knows of it. */
 final class Submission {
@@ -14,7 +14,7 @@
     final IdempotencyKey mKey;
     final long mDeadlineMillis;
     final List<Outcome> mTold = new ArrayList<>();
-    Progress mProgress;
+    SubmissionProgress mProgress;
     Exchange mCurrent;
     Exchange mPinned;
     boolean mFencing;
@@ -25,7 +25,7 @@
         mRepeatable = repeatable;
         mKey = key;
         mDeadlineMillis = deadlineMillis;
-        mProgress = Progress.of(repeatable, key != null);
+        mProgress = SubmissionProgress.of(repeatable, key != null);
     }
 
     boolean isOpen() {
--- a/src/test/java/org/apricotgauge/target/RetryPassTest.java
+++ b/src/test/java/org/apricotgauge/target/RetryPassTest.java
@@ -5,8 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import org.apricotgauge.decision.attempt.RetryAllowancePolicy;
 import org.apricotgauge.decision.attempt.RetryBudget;
-import org.apricotgauge.decision.attempt.RetryPool;
 import org.apricotgauge.http.HeaderNames;
 import org.apricotgauge.time.ManualTicker;
 import org.eclipse.jetty.http.HttpFields;
@@ -24,7 +24,7 @@
     private static final int GUARDS = 6;
     private static final int HEALTHY = 2;
     private static final double SHARE = 0.16;
-    private static final RetryPool POOL = RetryPool.ofFleet(60, 10);
+    private static final RetryAllowancePolicy POOL = RetryAllowancePolicy.ofFleet(60, 10);
 
     private final ManualTicker mTicker = new ManualTicker();
     private final SplittableRandom mRandom = new SplittableRandom(5);
@@ -54,11 +54,11 @@
         mBudgets.clear();
         for (int i = 0; i < GUARDS; i++) {
             mBudgets.add(
-                    RetryBudget.savingSince(
+                    RetryBudget.startingEmpty(
                             mTicker.millis(),
                             SHARE,
-                            POOL.extra(GUARDS).burst(),
-                            POOL.extra(GUARDS).perSecond()));
+                            POOL.allowance(GUARDS).burst(),
+                            POOL.allowance(GUARDS).perSecond()));
         }
         int repeats = 0;
         int refused = 0;
