--- a/src/main/java/org/apricotgauge/bench/allotment/AskedHomes.java
+++ b/src/main/java/org/apricotgauge/bench/allotment/AskedHomes.java
@@ -6,11 +6,11 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.apricotgauge.decision.allotment.AllotmentDesk;
-import org.apricotgauge.decision.allotment.Homes;
-import org.apricotgauge.decision.allotment.Message;
-import org.apricotgauge.decision.allotment.Reserve;
-import org.apricotgauge.decision.allotment.Verdict;
+import org.apricotgauge.decision.ratelimit.DistributedRateLimiter;
+import org.apricotgauge.decision.ratelimit.FallbackQuota;
+import org.apricotgauge.decision.ratelimit.MemberOwners;
+import org.apricotgauge.decision.ratelimit.RateLimitDecision;
+import org.apricotgauge.decision.ratelimit.TokenMessage;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.RateLimit;
 
@@ -23,23 +23,23 @@
 
     private final List<SimulatedMember> mMembers;
     private final LongSupplier mNowMillis;
-    private final Reserve.Tolerance mTolerance;
+    private final FallbackQuota.Tolerance mTolerance;
     private final double mLoss;
     private final Random mRandom;
     private final List<Address> mAddresses = new ArrayList<>();
-    private final AllotmentDesk[] mDesks;
+    private final DistributedRateLimiter[] mDesks;
     private final boolean[] mIsCut;
     private final PriorityQueue<Delivery> mWay =
             new PriorityQueue<>((one, other) -> Long.compare(one.atMillis(), other.atMillis()));
     private long mMessages;
 
-    private record Delivery(long atMillis, int from, int to, Message message) {}
+    private record Delivery(long atMillis, int from, int to, TokenMessage message) {}
 
     AskedHomes(
             List<SimulatedMember> members,
             int nodes,
             LongSupplier nowMillis,
-            Reserve.Tolerance tolerance,
+            FallbackQuota.Tolerance tolerance,
             double loss,
             long seed) {
         mMembers = members;
@@ -47,7 +47,7 @@
         mTolerance = tolerance;
         mLoss = loss;
         mRandom = new Random(seed);
-        mDesks = new AllotmentDesk[nodes];
+        mDesks = new DistributedRateLimiter[nodes];
         mIsCut = new boolean[nodes];
         for (int node = 0; node < nodes; node++) {
             String host = "10.0." + node / HOSTS_PER_NET + '.' + (1 + node % HOSTS_PER_NET);
@@ -71,15 +71,15 @@
         List<Address> others = new ArrayList<>(mAddresses);
         others.remove(node);
         mDesks[node] =
-                new AllotmentDesk(
-                        Homes.of(mAddresses.get(node), others),
+                new DistributedRateLimiter(
+                        MemberOwners.of(mAddresses.get(node), others),
                         (to, message) -> send(node, mAddresses.indexOf(to), message),
                         this::limitOf,
                         mTolerance,
                         mNowMillis.getAsLong());
     }
 
-    private void send(int from, int to, Message message) {
+    private void send(int from, int to, TokenMessage message) {
         mMessages++;
         if (mIsCut[from] || mIsCut[to] || mRandom.nextDouble() < mLoss) {
             return;
@@ -90,11 +90,11 @@
 
     @Override
     public void arrives(int node, int member, Consumer<Boolean> verdict) {
-        mDesks[node].take(
+        mDesks[node].acquire(
                 nameOf(member),
                 mMembers.get(member).limit(),
                 mNowMillis.getAsLong(),
-                told -> verdict.accept(told instanceof Verdict.Granted));
+                told -> verdict.accept(told instanceof RateLimitDecision.Granted));
     }
 
     @Override
@@ -105,7 +105,7 @@
             mDesks[next.to()].received(mAddresses.get(next.from()), next.message(), nowMillis);
         }
         if (nowMillis % EXPIRE_EVERY_MILLIS == 0) {
-            for (AllotmentDesk desk : mDesks) {
+            for (DistributedRateLimiter desk : mDesks) {
                 desk.expire(nowMillis);
             }
         }
--- a/src/main/java/org/apricotgauge/bench/allotment/MeasureAllotments.java
+++ b/src/main/java/org/apricotgauge/bench/allotment/MeasureAllotments.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.apricotgauge.decision.allotment.Reserve;
+import org.apricotgauge.decision.ratelimit.FallbackQuota;
 
 /**
  * Prints how three ways to keep members to their limits fare in fleets of several sizes.
@@ -76,7 +76,7 @@
                 fleet.members(),
                 fleet.nodes(),
                 fleet::nowMillis,
-                new Reserve.Tolerance(AllotmentFleet.WINDOW_SECONDS, OVER_SHARE, SLACK),
+                new FallbackQuota.Tolerance(AllotmentFleet.WINDOW_SECONDS, OVER_SHARE, SLACK),
                 LOSS,
                 SEED);
     }
--- a/src/main/java/org/apricotgauge/caller/DirectAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/DirectAttempt.java
@@ -85,7 +85,7 @@
         }
         mAccount.observed(AttemptAccount.outcomeOf(answer.getStatus()));
         if (HttpStatus.isSuccess(answer.getStatus())) {
-            mContext.quarantine().endedWell(mExchange.quarantine().fingerprint());
+            mContext.quarantine().recordSuccess(mExchange.quarantine().fingerprint());
         }
         mExchange.answered(this, answer, body);
     }
--- a/src/main/java/org/apricotgauge/caller/EntryHandler.java
+++ b/src/main/java/org/apricotgauge/caller/EntryHandler.java
@@ -7,7 +7,6 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import org.apricotgauge.decision.allotment.Verdict;
 import org.apricotgauge.decision.attempt.AttemptIdGenerator;
 import org.apricotgauge.decision.attempt.IdempotencyKey;
 import org.apricotgauge.decision.attempt.KeyOwner;
@@ -15,6 +14,7 @@
 import org.apricotgauge.decision.attempt.Outcome;
 import org.apricotgauge.decision.attempt.RetryBudgetRegistry;
 import org.apricotgauge.decision.quarantine.QuarantineTable;
+import org.apricotgauge.decision.ratelimit.RateLimitDecision;
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.decision.routing.RoutingTable;
 import org.apricotgauge.decision.routing.ServiceTable;
@@ -195,9 +195,9 @@
         mLimits.take(
                 limited.get(),
                 verdict -> {
-                    if (verdict instanceof Verdict.Granted) {
+                    if (verdict instanceof RateLimitDecision.Granted) {
                         start.run();
-                    } else if (verdict instanceof Verdict.Refused refused) {
+                    } else if (verdict instanceof RateLimitDecision.Refused refused) {
                         refuse(exchange, NotRunReason.OVER_LIMIT, refused.retryAfterMillis());
                     } else {
                         refuse(exchange, NotRunReason.LIMIT_UNKNOWN, RETRY_AFTER_MILLIS);
--- a/src/main/java/org/apricotgauge/caller/QuarantineCheck.java
+++ b/src/main/java/org/apricotgauge/caller/QuarantineCheck.java
@@ -44,7 +44,9 @@
 
     /** Goes on once the request can be told from those held with the same head, if any are. */
     void whenIdentified(Runnable next) {
-        if (mBody.isComplete() || mTable.held() == 0 || !mTable.isHeldHead(head())) {
+        if (mBody.isComplete()
+                || mTable.quarantinedCount() == 0
+                || !mTable.isQuarantinedHead(head())) {
             next.run();
             return;
         }
@@ -54,7 +56,7 @@
 
     /** Returns how long the request is still kept from targets, in milliseconds; 0 if it is not. */
     long heldMillis() {
-        return mTable.held() == 0 ? 0 : mTable.heldMillis(fingerprint());
+        return mTable.quarantinedCount() == 0 ? 0 : mTable.remainingQuarantineMillis(fingerprint());
     }
 
     Fingerprint fingerprint() {
--- a/src/main/java/org/apricotgauge/decision/TokenBucket.java
+++ b/src/main/java/org/apricotgauge/decision/TokenBucket.java
@@ -13,28 +13,28 @@
 public final class TokenBucket {
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
-    private final double mRateBytesPerSecond;
-    private final double mBurstBytes;
-    private double mLeftBytes;
-    private long mLastMillis;
+    private final double mRatePerSecond;
+    private final double mBurst;
+    private double mAvailable;
+    private long mLastRefillMillis;
 
     /** Creates a full bucket. */
     public TokenBucket(double rateBytesPerSecond, double burstBytes, long nowMillis) {
-        mRateBytesPerSecond = rateBytesPerSecond;
-        mBurstBytes = burstBytes;
-        mLeftBytes = burstBytes;
-        mLastMillis = nowMillis;
+        mRatePerSecond = rateBytesPerSecond;
+        mBurst = burstBytes;
+        mAvailable = burstBytes;
+        mLastRefillMillis = nowMillis;
     }
 
     /** Takes the bytes if they are there. */
-    public boolean take(int bytes, long nowMillis) {
-        double refill = (nowMillis - mLastMillis) / MILLIS_PER_SECOND * mRateBytesPerSecond;
-        mLeftBytes = Math.min(mBurstBytes, mLeftBytes + refill);
-        mLastMillis = nowMillis;
-        if (mLeftBytes < bytes) {
+    public boolean tryConsume(int bytes, long nowMillis) {
+        double refill = (nowMillis - mLastRefillMillis) / MILLIS_PER_SECOND * mRatePerSecond;
+        mAvailable = Math.min(mBurst, mAvailable + refill);
+        mLastRefillMillis = nowMillis;
+        if (mAvailable < bytes) {
             return false;
         }
-        mLeftBytes -= bytes;
+        mAvailable -= bytes;
         return true;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/ItemGossip.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ItemGossip.java
@@ -110,7 +110,8 @@
         // Liveness and leaving are bounded by how often VMs come and go; evidence is bounded only
         // here. With 8 links one byte taken in costs up to 15 on the wire.
         return item.kind() != GossipItem.Kind.EVIDENCE
-                || mEvidenceBudget.take(item.payload().length + ITEM_OVERHEAD_BYTES, nowMillis);
+                || mEvidenceBudget.tryConsume(
+                        item.payload().length + ITEM_OVERHEAD_BYTES, nowMillis);
     }
 
     private void flood(PeerMessage message, Link source) {
--- a/src/main/java/org/apricotgauge/decision/quarantine/BodyHash.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/BodyHash.java
@@ -12,22 +12,22 @@
  * long body = hash.value();
  * }</pre>
  *
- * <p>Only the first {@link #HASHED_BYTES} count, so that a request can be recognised before the
+ * <p>Only the first {@link #MAX_HASHED_BYTES} count, so that a request can be recognised before the
  * rest of a long body has come. Thread-safe.
  */
 public final class BodyHash {
     /** Bytes of a body that tell it from others. */
-    public static final int HASHED_BYTES = 16_384;
+    public static final int MAX_HASHED_BYTES = 16_384;
 
     private MessageDigest mDigest;
     private int mHashedBytes;
-    private boolean mEnded;
+    private boolean mIsComplete;
     private long mValue = Fingerprint.UNKNOWN_BODY;
 
     /** Takes in the next bytes; the buffer's position stays. */
     public synchronized void update(ByteBuffer bytes) {
-        int taken = Math.min(bytes.remaining(), HASHED_BYTES - mHashedBytes);
-        if (taken <= 0 || mEnded) {
+        int taken = Math.min(bytes.remaining(), MAX_HASHED_BYTES - mHashedBytes);
+        if (taken <= 0 || mIsComplete) {
             return;
         }
         if (mDigest == null) {
@@ -35,26 +35,26 @@
         }
         mDigest.update(bytes.slice(bytes.position(), taken));
         mHashedBytes += taken;
-        if (mHashedBytes == HASHED_BYTES) {
-            finish();
+        if (mHashedBytes == MAX_HASHED_BYTES) {
+            complete();
         }
     }
 
     /** Notes that the body has ended. */
     public synchronized void end() {
-        if (!mEnded) {
-            finish();
+        if (!mIsComplete) {
+            complete();
         }
     }
 
-    private void finish() {
-        mEnded = true;
+    private void complete() {
+        mIsComplete = true;
         mValue = mHashedBytes == 0 ? Fingerprint.NO_BODY : Sha256.firstLong(mDigest);
     }
 
     /** Returns whether enough of the body has been taken in. */
     public synchronized boolean isComplete() {
-        return mEnded;
+        return mIsComplete;
     }
 
     /** Returns the hash; {@link Fingerprint#UNKNOWN_BODY} while too little has been taken in. */
--- a/src/main/java/org/apricotgauge/decision/quarantine/CrashGossip.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/CrashGossip.java
@@ -36,36 +36,36 @@
     static final int FANOUT = 2;
 
     /** Time between two comparisons while a request is held or something is new. */
-    static final long COMPARE_MILLIS = 400;
+    static final long COMPARE_INTERVAL_MILLIS = 400;
 
     /** Time between two comparisons while all that is known is old. */
-    static final long COMPARE_OLD_MILLIS = 4_500;
+    static final long IDLE_COMPARE_INTERVAL_MILLIS = 4_500;
 
     /** What changed within this time is new. */
-    static final long NEW_MILLIS = 30_000;
+    static final long RECENT_CHANGE_MILLIS = 30_000;
 
     /** Bytes that a node may send in a second. */
     private static final double BYTES_PER_SECOND = 4_000;
 
     private static final double BURST_BYTES = 32_000;
-    private static final int MESSAGE_BYTES = 48;
-    private static final int LINE_BYTES = 24;
+    private static final int MESSAGE_OVERHEAD_BYTES = 48;
+    private static final int LINE_OVERHEAD_BYTES = 24;
     private static final int CRASH_BYTES = 14;
 
     private final QuarantineTable mTable;
     private final Supplier<Peers> mPeers;
-    private final Port mPort;
+    private final Sender mSender;
     private final RandomGenerator mRandom;
     private final Ticker mTicker;
-    private final TokenBucket mBytes;
+    private final TokenBucket mByteBudget;
     private final Map<Fingerprint, Integer> mRoundsLeft = new LinkedHashMap<>();
-    private long mComparedMillis;
-    private long mChangedMillis;
+    private long mLastCompareMillis;
+    private long mLastChangeMillis;
     private int mComparisons;
 
     /** Carries messages, which may be lost or come twice; must not block. */
     @FunctionalInterface
-    public interface Port {
+    public interface Sender {
         /** Sends a message. */
         void send(Address to, CrashMessage message);
     }
@@ -73,17 +73,17 @@
     /**
      * The other nodes.
      *
-     * @param near those of the own failure domain
-     * @param after all, in the one order of the fleet, beginning with the one behind this node
+     * @param sameDomain those of the own failure domain
+     * @param successors all, in the one order of the fleet, beginning with the one behind this node
      */
-    public record Peers(List<Address> near, List<Address> after) {
+    public record Peers(List<Address> sameDomain, List<Address> successors) {
         /** There are none. */
         public static final Peers NONE = new Peers(List.of(), List.of());
 
         /** Checks the parts. */
         public Peers {
-            near = List.copyOf(near);
-            after = List.copyOf(after);
+            sameDomain = List.copyOf(sameDomain);
+            successors = List.copyOf(successors);
         }
     }
 
@@ -98,59 +98,62 @@
     public CrashGossip(
             QuarantineTable table,
             Supplier<Peers> peers,
-            Port port,
+            Sender port,
             RandomGenerator random,
             Ticker ticker) {
         mTable = Checks.notNull("table", table);
         mPeers = Checks.notNull("peers", peers);
-        mPort = Checks.notNull("port", port);
+        mSender = Checks.notNull("port", port);
         mRandom = Checks.notNull("random", random);
         mTicker = Checks.notNull("ticker", ticker);
-        mBytes = new TokenBucket(BYTES_PER_SECOND, BURST_BYTES, ticker.millis());
-        mComparedMillis = ticker.millis();
-        mChangedMillis = ticker.millis() - NEW_MILLIS;
+        mByteBudget = new TokenBucket(BYTES_PER_SECOND, BURST_BYTES, ticker.millis());
+        mLastCompareMillis = ticker.millis();
+        mLastChangeMillis = ticker.millis() - RECENT_CHANGE_MILLIS;
     }
 
     /** Passes on that the record of a request tells more than before. */
-    public synchronized void changed(Fingerprint fingerprint) {
+    public synchronized void recordChanged(Fingerprint fingerprint) {
         mRoundsLeft.put(fingerprint, ROUNDS);
-        mChangedMillis = mTicker.millis();
+        mLastChangeMillis = mTicker.millis();
     }
 
     /** Does what is due; called about ten times a second, and after news. */
     public synchronized void tick() {
         Peers peers = mPeers.get();
-        if (peers.after().isEmpty()) {
+        if (peers.successors().isEmpty()) {
             return;
         }
-        tellNews(peers);
+        sendChangedRecords(peers);
         long nowMillis = mTicker.millis();
-        if (mTable.size() > 0 && nowMillis - mComparedMillis >= periodMillis(nowMillis)) {
-            mComparedMillis = nowMillis;
-            send(nextToCompare(peers.after()), CrashMessage.Kind.ASK, List.of());
+        if (mTable.size() > 0
+                && nowMillis - mLastCompareMillis >= compareIntervalMillis(nowMillis)) {
+            mLastCompareMillis = nowMillis;
+            send(nextComparisonPeer(peers.successors()), CrashMessage.Kind.ASK, List.of());
         }
     }
 
-    private long periodMillis(long nowMillis) {
-        boolean isNew = nowMillis - mChangedMillis < NEW_MILLIS;
-        return isNew || mTable.held() > 0 ? COMPARE_MILLIS : COMPARE_OLD_MILLIS;
+    private long compareIntervalMillis(long nowMillis) {
+        boolean isNew = nowMillis - mLastChangeMillis < RECENT_CHANGE_MILLIS;
+        return isNew || mTable.quarantinedCount() > 0
+                ? COMPARE_INTERVAL_MILLIS
+                : IDLE_COMPARE_INTERVAL_MILLIS;
     }
 
     // Distances double, so that what one side of a healed cut knows crosses in few steps.
-    private Address nextToCompare(List<Address> after) {
+    private Address nextComparisonPeer(List<Address> after) {
         int distances = Integer.SIZE - Integer.numberOfLeadingZeros(after.size());
         int distance = 1 << (mComparisons++ % distances);
         return after.get(distance - 1);
     }
 
-    private void tellNews(Peers peers) {
+    private void sendChangedRecords(Peers peers) {
         if (mRoundsLeft.isEmpty()) {
             return;
         }
         List<Fingerprint> told =
                 mRoundsLeft.keySet().stream().limit(CrashMessage.MAX_LINES).toList();
         List<CrashMessage.Line> lines = told.stream().map(this::lineOf).toList();
-        for (Address peer : audience(peers)) {
+        for (Address peer : chooseReceivers(peers)) {
             if (!send(peer, CrashMessage.Kind.NEWS, lines)) {
                 return;
             }
@@ -163,16 +166,17 @@
         }
     }
 
-    private List<Address> audience(Peers peers) {
+    private List<Address> chooseReceivers(Peers peers) {
         List<Address> audience = new ArrayList<>(FANOUT);
-        audience.add(any(peers.near().isEmpty() ? peers.after() : peers.near()));
+        audience.add(
+                randomPeer(peers.sameDomain().isEmpty() ? peers.successors() : peers.sameDomain()));
         while (audience.size() < FANOUT) {
-            audience.add(any(peers.after()));
+            audience.add(randomPeer(peers.successors()));
         }
         return audience;
     }
 
-    private Address any(List<Address> peers) {
+    private Address randomPeer(List<Address> peers) {
         return peers.get(mRandom.nextInt(peers.size()));
     }
 
@@ -180,17 +184,18 @@
     public void received(Address from, CrashMessage message) {
         long nowMillis = mTicker.millis();
         boolean isNews = message.kind() == CrashMessage.Kind.NEWS;
-        mTable.learn(message.lines().stream().map(line -> line.entry(nowMillis)).toList(), isNews);
-        boolean isSame = message.sum() == mTable.sum();
+        mTable.merge(
+                message.lines().stream().map(line -> line.toEntry(nowMillis)).toList(), isNews);
+        boolean isSame = message.sum() == mTable.checksum();
         if (message.kind() == CrashMessage.Kind.ASK && !isSame) {
-            tellAll(from, CrashMessage.Kind.LAST_PART);
+            sendAllRecords(from, CrashMessage.Kind.LAST_PART);
         }
         if (message.kind() == CrashMessage.Kind.LAST_PART && !isSame) {
-            tellAll(from, CrashMessage.Kind.PART);
+            sendAllRecords(from, CrashMessage.Kind.PART);
         }
     }
 
-    private synchronized void tellAll(Address to, CrashMessage.Kind lastKind) {
+    private synchronized void sendAllRecords(Address to, CrashMessage.Kind lastKind) {
         List<CrashMessage.Line> lines =
                 mTable.entries().stream()
                         .map(entry -> CrashMessage.Line.of(entry, mTicker.millis()))
@@ -214,14 +219,14 @@
     }
 
     private boolean send(Address to, CrashMessage.Kind kind, List<CrashMessage.Line> lines) {
-        int bytes = MESSAGE_BYTES;
+        int bytes = MESSAGE_OVERHEAD_BYTES;
         for (CrashMessage.Line line : lines) {
-            bytes += LINE_BYTES + CRASH_BYTES * line.crashIds().size();
+            bytes += LINE_OVERHEAD_BYTES + CRASH_BYTES * line.crashIds().size();
         }
-        if (!mBytes.take(bytes, mTicker.millis())) {
+        if (!mByteBudget.tryConsume(bytes, mTicker.millis())) {
             return false;
         }
-        mPort.send(to, new CrashMessage(kind, mTable.sum(), lines));
+        mSender.send(to, new CrashMessage(kind, mTable.checksum(), lines));
         return true;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/quarantine/CrashRecord.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/CrashRecord.java
@@ -18,34 +18,34 @@
  * arrives, and how often, does not matter.
  *
  * @param crashes those that count, the earliest first, at most {@link #MAX_CRASHES}
- * @param voidUntilMillis crashes up to this time do not count
+ * @param clearedUntilMillis crashes up to this time do not count
  */
-public record CrashRecord(List<Crash> crashes, long voidUntilMillis) {
+public record CrashRecord(List<Crash> crashes, long clearedUntilMillis) {
     /** Nothing is known of the request. */
     public static final CrashRecord NONE = new CrashRecord(List.of(), Long.MIN_VALUE);
 
     /** So many crashes, and no run that ended well, prove that the request causes them. */
-    static final int PROOF = 3;
+    static final int QUARANTINE_CRASHES = 3;
 
     /** How long a request is held after its last crash, the first time. */
-    static final long HOLD_MILLIS = 600_000;
+    static final long BASE_QUARANTINE_MILLIS = 600_000;
 
     /** Each further crash doubles the time, so often at the most. */
     static final int MAX_DOUBLINGS = 6;
 
     /** Crashes that are kept; further ones change nothing. */
-    static final int MAX_CRASHES = PROOF + MAX_DOUBLINGS;
+    static final int MAX_CRASHES = QUARANTINE_CRASHES + MAX_DOUBLINGS;
 
     /** How long a record is remembered once it holds nothing back. */
-    static final long REMEMBERED_MILLIS = 600_000;
+    static final long RETENTION_MILLIS = 600_000;
 
     /** Checks the parts, and drops the crashes that do not count. */
     public CrashRecord {
         Checks.notNull("crashes", crashes);
-        crashes = counting(crashes, voidUntilMillis);
+        crashes = countedCrashes(crashes, clearedUntilMillis);
     }
 
-    private static List<Crash> counting(List<Crash> crashes, long voidUntilMillis) {
+    private static List<Crash> countedCrashes(List<Crash> crashes, long voidUntilMillis) {
         List<Crash> counting =
                 crashes.stream()
                         .filter(crash -> crash.atMillis() > voidUntilMillis)
@@ -62,17 +62,17 @@
         }
         List<Crash> all = new ArrayList<>(crashes);
         all.add(crash);
-        return new CrashRecord(all, voidUntilMillis);
+        return new CrashRecord(all, clearedUntilMillis);
     }
 
     /** Returns the record in which crashes up to a time do not count. */
-    CrashRecord voidUntil(long millis) {
-        return millis <= voidUntilMillis ? this : new CrashRecord(crashes, millis);
+    CrashRecord withClearedUntil(long millis) {
+        return millis <= clearedUntilMillis ? this : new CrashRecord(crashes, millis);
     }
 
     /** Returns all that this record and another one tell. */
     CrashRecord merge(CrashRecord other) {
-        CrashRecord merged = voidUntil(other.voidUntilMillis());
+        CrashRecord merged = withClearedUntil(other.clearedUntilMillis());
         for (Crash crash : other.crashes()) {
             merged = merged.with(crash);
         }
@@ -80,25 +80,27 @@
     }
 
     /** Returns until when the request is kept from targets; {@link Long#MIN_VALUE} if it is not. */
-    long heldUntilMillis() {
-        if (crashes.size() < PROOF) {
+    long quarantinedUntilMillis() {
+        if (crashes.size() < QUARANTINE_CRASHES) {
             return Long.MIN_VALUE;
         }
-        return lastMillis() + (HOLD_MILLIS << Math.min(MAX_DOUBLINGS, crashes.size() - PROOF));
+        return lastCrashMillis()
+                + (BASE_QUARANTINE_MILLIS
+                        << Math.min(MAX_DOUBLINGS, crashes.size() - QUARANTINE_CRASHES));
     }
 
     /** Returns when the record tells nothing any more. */
-    long forgottenAtMillis() {
-        long lastHeldMillis = Math.max(heldUntilMillis(), lastMillis());
-        return Math.max(lastHeldMillis, voidUntilMillis) + REMEMBERED_MILLIS;
+    long expiresAtMillis() {
+        long lastHeldMillis = Math.max(quarantinedUntilMillis(), lastCrashMillis());
+        return Math.max(lastHeldMillis, clearedUntilMillis) + RETENTION_MILLIS;
     }
 
-    private long lastMillis() {
+    private long lastCrashMillis() {
         return crashes.isEmpty() ? Long.MIN_VALUE / 2 : crashes.get(crashes.size() - 1).atMillis();
     }
 
     /** Returns a hash that two nodes agree on if they count the same crashes of the request. */
-    long sum(Fingerprint fingerprint) {
+    long checksum(Fingerprint fingerprint) {
         long sum = 0;
         for (Crash crash : crashes) {
             sum ^=
--- a/src/main/java/org/apricotgauge/decision/quarantine/Fingerprint.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/Fingerprint.java
@@ -33,7 +33,7 @@
      *
      * @param member id of the member on whose behalf it comes
      */
-    public static long headOf(String method, String host, String pathQuery, String member) {
+    public static long hashHead(String method, String host, String pathQuery, String member) {
         MessageDigest digest = Sha256.create();
         for (String part : new String[] {method, host, pathQuery, member}) {
             digest.update(part.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/org/apricotgauge/decision/quarantine/QuarantineListener.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/QuarantineListener.java
@@ -4,7 +4,7 @@
 public interface QuarantineListener {
 
     /** A request is held from now on. */
-    void held(Fingerprint fingerprint, int crashes, long heldMillis);
+    void quarantined(Fingerprint fingerprint, int crashes, long heldMillis);
 
     /** A request is let through again, since it ran well or an operator wants it. */
     void released(Fingerprint fingerprint);
@@ -14,8 +14,8 @@
      *
      * @param isUrgent whether others should hear of it soon
      */
-    void changed(Fingerprint fingerprint, boolean isUrgent);
+    void recordChanged(Fingerprint fingerprint, boolean isUrgent);
 
     /** A crash was not taken in, since all room is taken by requests that are held. */
-    void full();
+    void tableFull();
 }
--- a/src/main/java/org/apricotgauge/decision/quarantine/QuarantineTable.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/QuarantineTable.java
@@ -25,29 +25,32 @@
  * }</pre>
  *
  * <p>A target that ends takes all its requests along, so that most of those that were at work are
- * innocent. A request is held after {@link CrashRecord#PROOF} crashes of which none was preceded or
- * followed by a run that ended well. Memory is bounded; a request that is held is never forgotten
- * for the sake of a newcomer. Thread-safe; a reader on a request's path takes no lock.
+ * innocent. A request is held after {@link CrashRecord#QUARANTINE_CRASHES} crashes of which none
+ * was preceded or followed by a run that ended well. Memory is bounded; a request that is held is
+ * never forgotten for the sake of a newcomer. Thread-safe; a reader on a request's path takes no
+ * lock.
  */
 public final class QuarantineTable {
     /** Requests of which crashes are remembered. */
     static final int MAX_RECORDS = 1_024;
 
     /** A run that ended well clears its request of crashes up to so much later. */
-    static final long CLEARED_MILLIS = 60_000;
+    static final long CLEARED_AFTER_SUCCESS_MILLIS = 60_000;
 
     /** Requests that ended well of which that is remembered. */
-    private static final int MAX_WELL = 4_096;
+    private static final int MAX_SUCCESSES = 4_096;
 
     private final Ticker mTicker;
     private final QuarantineListener mListener;
-    private final Cache<Fingerprint, Long> mWell;
+    private final Cache<Fingerprint, Long> mSuccesses;
     private final Map<Fingerprint, CrashRecord> mRecords = new HashMap<>();
     private volatile View mView = View.EMPTY;
 
     /** What readers see. */
     private record View(
-            Map<Fingerprint, CrashRecord> held, Set<Long> heldHeads, Set<Long> suspectHeads) {
+            Map<Fingerprint, CrashRecord> quarantined,
+            Set<Long> quarantinedHeads,
+            Set<Long> suspectHeads) {
         static final View EMPTY = new View(Map.of(), Set.of(), Set.of());
     }
 
@@ -65,24 +68,24 @@
     public QuarantineTable(Ticker ticker, QuarantineListener listener) {
         mTicker = Checks.notNull("ticker", ticker);
         mListener = Checks.notNull("listener", listener);
-        mWell =
+        mSuccesses =
                 Caffeine.newBuilder()
-                        .maximumSize(MAX_WELL)
-                        .expireAfterWrite(CLEARED_MILLIS, TimeUnit.MILLISECONDS)
+                        .maximumSize(MAX_SUCCESSES)
+                        .expireAfterWrite(CLEARED_AFTER_SUCCESS_MILLIS, TimeUnit.MILLISECONDS)
                         .ticker(ticker::nanos)
                         .executor(Runnable::run)
                         .build();
     }
 
     /** Returns how long the request is still kept from targets, in milliseconds; 0 if it is not. */
-    public long heldMillis(Fingerprint fingerprint) {
-        CrashRecord record = mView.held().get(fingerprint);
-        return record == null ? 0 : Math.max(0, record.heldUntilMillis() - mTicker.millis());
+    public long remainingQuarantineMillis(Fingerprint fingerprint) {
+        CrashRecord record = mView.quarantined().get(fingerprint);
+        return record == null ? 0 : Math.max(0, record.quarantinedUntilMillis() - mTicker.millis());
     }
 
     /** Returns whether a request with this head is held, so that the body must be known. */
-    public boolean isHeldHead(long head) {
-        return mView.heldHeads().contains(head);
+    public boolean isQuarantinedHead(long head) {
+        return mView.quarantinedHeads().contains(head);
     }
 
     /** Returns whether a request with this head was at work in a crash. */
@@ -91,8 +94,8 @@
     }
 
     /** Returns how many requests are held. */
-    public int held() {
-        return mView.held().size();
+    public int quarantinedCount() {
+        return mView.quarantined().size();
     }
 
     /** Returns of how many requests crashes are remembered. */
@@ -101,34 +104,34 @@
     }
 
     /** Takes in that a target ended while it ran these requests. */
-    public void crashed(Collection<Fingerprint> requests, long crashId) {
+    public void recordCrash(Collection<Fingerprint> requests, long crashId) {
         Crash crash = new Crash(crashId, mTicker.millis());
         CrashRecord once = CrashRecord.NONE.with(crash);
         update(requests.stream().distinct().map(one -> new Entry(one, once)).toList(), true);
     }
 
     /** Takes in that a run of the request ended well. */
-    public void endedWell(Fingerprint fingerprint) {
+    public void recordSuccess(Fingerprint fingerprint) {
         if (!fingerprint.isComplete()) {
             return;
         }
-        long clearedUntilMillis = mTicker.millis() + CLEARED_MILLIS;
-        mWell.put(fingerprint, clearedUntilMillis);
-        if (mView.suspectHeads().contains(fingerprint.head()) && isKnown(fingerprint)) {
-            update(fingerprint, CrashRecord.NONE.voidUntil(clearedUntilMillis), true);
+        long clearedUntilMillis = mTicker.millis() + CLEARED_AFTER_SUCCESS_MILLIS;
+        mSuccesses.put(fingerprint, clearedUntilMillis);
+        if (mView.suspectHeads().contains(fingerprint.head()) && hasCrashes(fingerprint)) {
+            update(fingerprint, CrashRecord.NONE.withClearedUntil(clearedUntilMillis), true);
         }
     }
 
-    private synchronized boolean isKnown(Fingerprint fingerprint) {
+    private synchronized boolean hasCrashes(Fingerprint fingerprint) {
         CrashRecord record = mRecords.get(fingerprint);
         return record != null && !record.crashes().isEmpty();
     }
 
     /** Lets a request through again; returns false if nothing is held against it. */
-    public boolean lift(Fingerprint fingerprint) {
-        boolean known = isKnown(fingerprint);
+    public boolean release(Fingerprint fingerprint) {
+        boolean known = hasCrashes(fingerprint);
         if (known) {
-            update(fingerprint, CrashRecord.NONE.voidUntil(mTicker.millis()), true);
+            update(fingerprint, CrashRecord.NONE.withClearedUntil(mTicker.millis()), true);
         }
         return known;
     }
@@ -138,11 +141,11 @@
      *
      * @param isNews whether the other node tells it since it is new
      */
-    public void learn(List<Entry> told, boolean isNews) {
+    public void merge(List<Entry> told, boolean isNews) {
         long nowMillis = mTicker.millis();
         update(
                 told.stream()
-                        .filter(entry -> entry.record().forgottenAtMillis() > nowMillis)
+                        .filter(entry -> entry.record().expiresAtMillis() > nowMillis)
                         .toList(),
                 isNews);
     }
@@ -150,17 +153,19 @@
     /** Lets requests through that were held for long enough, and forgets what is long past. */
     public void expire() {
         long nowMillis = mTicker.millis();
-        Set<Fingerprint> before = mView.held().keySet();
+        Set<Fingerprint> before = mView.quarantined().keySet();
         synchronized (this) {
-            boolean isOver = mView.held().keySet().stream().anyMatch(one -> heldMillis(one) == 0);
+            boolean isOver =
+                    mView.quarantined().keySet().stream()
+                            .anyMatch(one -> remainingQuarantineMillis(one) == 0);
             boolean isForgotten =
-                    mRecords.values().removeIf(record -> record.forgottenAtMillis() <= nowMillis);
+                    mRecords.values().removeIf(record -> record.expiresAtMillis() <= nowMillis);
             if (!isOver && !isForgotten) {
                 return;
             }
-            refresh();
+            rebuildView();
         }
-        Set<Fingerprint> after = mView.held().keySet();
+        Set<Fingerprint> after = mView.quarantined().keySet();
         before.stream().filter(one -> !after.contains(one)).forEach(mListener::released);
     }
 
@@ -174,7 +179,8 @@
         synchronized (this) {
             for (Entry entry : told) {
                 CrashRecord before = record(entry.fingerprint());
-                CrashRecord after = withOwn(entry.fingerprint(), before.merge(entry.record()));
+                CrashRecord after =
+                        withLocalSuccess(entry.fingerprint(), before.merge(entry.record()));
                 if (after.equals(before)) {
                     continue;
                 }
@@ -186,21 +192,21 @@
                 changes.add(new Change(entry.fingerprint(), before, after));
             }
             if (!changes.isEmpty()) {
-                refresh();
+                rebuildView();
             }
         }
-        changes.forEach(change -> tell(change, isNews));
+        changes.forEach(change -> notifyListener(change, isNews));
         if (isFull) {
-            mListener.full();
+            mListener.tableFull();
         }
     }
 
     // This node may have seen a run end well before anybody heard of a crash.
-    private CrashRecord withOwn(Fingerprint fingerprint, CrashRecord record) {
-        Long clearedUntilMillis = mWell.getIfPresent(fingerprint);
+    private CrashRecord withLocalSuccess(Fingerprint fingerprint, CrashRecord record) {
+        Long clearedUntilMillis = mSuccesses.getIfPresent(fingerprint);
         return clearedUntilMillis == null || record.crashes().isEmpty()
                 ? record
-                : record.voidUntil(clearedUntilMillis);
+                : record.withClearedUntil(clearedUntilMillis);
     }
 
     private boolean makeRoom() {
@@ -210,19 +216,22 @@
         long nowMillis = mTicker.millis();
         Optional<Fingerprint> oldest =
                 mRecords.entrySet().stream()
-                        .filter(entry -> !isHeld(entry.getKey(), entry.getValue(), nowMillis))
-                        .min(Comparator.comparingLong(one -> one.getValue().forgottenAtMillis()))
+                        .filter(
+                                entry ->
+                                        !isQuarantined(entry.getKey(), entry.getValue(), nowMillis))
+                        .min(Comparator.comparingLong(one -> one.getValue().expiresAtMillis()))
                         .map(Map.Entry::getKey);
         oldest.ifPresent(mRecords::remove);
         return oldest.isPresent();
     }
 
     // A head alone holds nothing: it would stop all requests that differ in their bodies.
-    private static boolean isHeld(Fingerprint fingerprint, CrashRecord record, long nowMillis) {
-        return fingerprint.isComplete() && record.heldUntilMillis() > nowMillis;
+    private static boolean isQuarantined(
+            Fingerprint fingerprint, CrashRecord record, long nowMillis) {
+        return fingerprint.isComplete() && record.quarantinedUntilMillis() > nowMillis;
     }
 
-    private void refresh() {
+    private void rebuildView() {
         long nowMillis = mTicker.millis();
         Map<Fingerprint, CrashRecord> held = new HashMap<>();
         Set<Long> heldHeads = new HashSet<>();
@@ -233,7 +242,7 @@
                         return;
                     }
                     suspectHeads.add(fingerprint.head());
-                    if (isHeld(fingerprint, record, nowMillis)) {
+                    if (isQuarantined(fingerprint, record, nowMillis)) {
                         held.put(fingerprint, record);
                         heldHeads.add(fingerprint.head());
                     }
@@ -241,20 +250,22 @@
         mView = new View(held, heldHeads, suspectHeads);
     }
 
-    private void tell(Change change, boolean isNews) {
+    private void notifyListener(Change change, boolean isNews) {
         long nowMillis = mTicker.millis();
         Fingerprint fingerprint = change.fingerprint();
         CrashRecord after = change.after();
-        boolean wasHeld = isHeld(fingerprint, change.before(), nowMillis);
-        boolean isHeld = isHeld(fingerprint, after, nowMillis);
+        boolean wasHeld = isQuarantined(fingerprint, change.before(), nowMillis);
+        boolean isHeld = isQuarantined(fingerprint, after, nowMillis);
         if (isHeld && !wasHeld) {
-            mListener.held(
-                    fingerprint, after.crashes().size(), after.heldUntilMillis() - nowMillis);
+            mListener.quarantined(
+                    fingerprint,
+                    after.crashes().size(),
+                    after.quarantinedUntilMillis() - nowMillis);
         }
         if (wasHeld && !isHeld) {
             mListener.released(fingerprint);
         }
-        mListener.changed(fingerprint, isNews || isHeld != wasHeld);
+        mListener.recordChanged(fingerprint, isNews || isHeld != wasHeld);
     }
 
     /** Returns what is known of a request; {@link CrashRecord#NONE} if nothing is. */
@@ -267,16 +278,16 @@
         List<Entry> entries = new ArrayList<>(mRecords.size());
         mRecords.forEach((fingerprint, record) -> entries.add(new Entry(fingerprint, record)));
         entries.sort(
-                Comparator.comparingLong((Entry entry) -> entry.record().heldUntilMillis())
+                Comparator.comparingLong((Entry entry) -> entry.record().quarantinedUntilMillis())
                         .reversed());
         return entries;
     }
 
     /** Returns a hash that two tables agree on if they count the same crashes. */
-    synchronized long sum() {
+    synchronized long checksum() {
         long sum = 0;
         for (Map.Entry<Fingerprint, CrashRecord> entry : mRecords.entrySet()) {
-            sum ^= entry.getValue().sum(entry.getKey());
+            sum ^= entry.getValue().checksum(entry.getKey());
         }
         return sum;
     }
--- a/src/main/java/org/apricotgauge/decision/allotment/Reserve.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/FallbackQuota.java
@@ -1,4 +1,4 @@
-package org.apricotgauge.decision.allotment;
+package org.apricotgauge.decision.ratelimit;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -12,12 +12,12 @@
  * to the nodes that come first in the member's order, one each, so that they hold in sum however
  * many nodes are out of touch. Not thread-safe.
  */
-public final class Reserve {
-    private static final double PART = 0.5;
+public final class FallbackQuota {
+    private static final double TOLERANCE_FRACTION = 0.5;
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
     private final Tolerance mTolerance;
-    private final Map<String, Long> mUsedMillis = new HashMap<>();
+    private final Map<String, Long> mLastGrantMillis = new HashMap<>();
 
     /**
      * What the operator tolerates beyond a limit.
@@ -37,14 +37,14 @@
             Checks.inRange("tolerance.slack", slack, 0.0, 1e9);
         }
 
-        double requests(RateLimit limit) {
+        double toleratedRequests(RateLimit limit) {
             double allowed = limit.requestsPerSecond() * windowSeconds + limit.burst();
             return share * allowed + slack;
         }
     }
 
     /** Creates the reserve of one node. */
-    public Reserve(Tolerance tolerance) {
+    public FallbackQuota(Tolerance tolerance) {
         mTolerance = Checks.notNull("tolerance", tolerance);
     }
 
@@ -53,16 +53,16 @@
      *
      * @param rank how many nodes stand before this one in the member's order
      */
-    public boolean take(String member, RateLimit limit, int rank, long nowMillis) {
-        if (rank >= Math.floor(PART * mTolerance.requests(limit))) {
+    public boolean tryAcquire(String member, RateLimit limit, int rank, long nowMillis) {
+        if (rank >= Math.floor(TOLERANCE_FRACTION * mTolerance.toleratedRequests(limit))) {
             return false;
         }
         long windowMillis = (long) (mTolerance.windowSeconds() * MILLIS_PER_SECOND);
-        Long usedMillis = mUsedMillis.get(member);
+        Long usedMillis = mLastGrantMillis.get(member);
         if (usedMillis != null && nowMillis - usedMillis <= windowMillis) {
             return false;
         }
-        mUsedMillis.put(member, nowMillis);
+        mLastGrantMillis.put(member, nowMillis);
         return true;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/allotment/Answer.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/TokenGrant.java
@@ -1,4 +1,4 @@
-package org.apricotgauge.decision.allotment;
+package org.apricotgauge.decision.ratelimit;
 
 import org.apricotgauge.model.Checks;
 
@@ -9,9 +9,9 @@
  * @param retryAfterMillis when a token will be there for those that got none, in milliseconds; 0 if
  *     all got one
  */
-public record Answer(int granted, long retryAfterMillis) {
+public record TokenGrant(int granted, long retryAfterMillis) {
     /** Checks the parts. */
-    public Answer {
+    public TokenGrant {
         Checks.inRange("answer.granted", granted, 0, Integer.MAX_VALUE);
         Checks.inRange("answer.retryAfterMillis", retryAfterMillis, 0, Long.MAX_VALUE);
     }
--- a/src/main/java/org/apricotgauge/decision/allotment/Message.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/TokenMessage.java
@@ -1,9 +1,9 @@
-package org.apricotgauge.decision.allotment;
+package org.apricotgauge.decision.ratelimit;
 
 import org.apricotgauge.model.Checks;
 
 /** What nodes say to each other about tokens; one message a datagram. */
-public sealed interface Message {
+public sealed interface TokenMessage {
 
     /** Returns the number that the asker gave the question. */
     long id();
@@ -16,12 +16,12 @@
      * @param count how many; 0 only asks whether the other one answers
      * @param isFinal whether the one asked is to answer itself, and ask nobody else
      */
-    record Ask(long id, String member, int count, boolean isFinal) implements Message {
+    record Request(long id, String member, int count, boolean isFinal) implements TokenMessage {
         /** Most tokens that one question asks for. */
         public static final int MAX_COUNT = 10_000;
 
         /** Checks the parts. */
-        public Ask {
+        public Request {
             Checks.id("ask.member", member);
             Checks.inRange("ask.count", count, 0, MAX_COUNT);
         }
@@ -31,12 +31,12 @@
      * The answer to a question.
      *
      * @param id number of the question
-     * @param answer what is granted
+     * @param grant what is granted
      */
-    record Reply(long id, Answer answer) implements Message {
+    record Response(long id, TokenGrant grant) implements TokenMessage {
         /** Checks the parts. */
-        public Reply {
-            Checks.notNull("answer", answer);
+        public Response {
+            Checks.notNull("answer", grant);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/http/Fingerprints.java
+++ b/src/main/java/org/apricotgauge/http/Fingerprints.java
@@ -17,7 +17,7 @@
      * @param member id of the member on whose behalf it comes
      */
     public static long headOf(Request request, String member) {
-        return Fingerprint.headOf(
+        return Fingerprint.hashHead(
                 request.getMethod(),
                 hostOf(request),
                 String.valueOf(request.getHttpURI().getPathQuery()),
--- a/src/main/java/org/apricotgauge/log/BoundedLog.java
+++ b/src/main/java/org/apricotgauge/log/BoundedLog.java
@@ -37,7 +37,7 @@
     public void info(String message, LongFunction<Record> line) {
         long leftOut;
         synchronized (mLines) {
-            if (!mLines.take(1, mTicker.millis())) {
+            if (!mLines.tryConsume(1, mTicker.millis())) {
                 mLeftOut++;
                 return;
             }
--- a/src/main/java/org/apricotgauge/node/AllotmentCodec.java
+++ b/src/main/java/org/apricotgauge/node/AllotmentCodec.java
@@ -1,8 +1,8 @@
 package org.apricotgauge.node;
 
 import java.io.IOException;
-import org.apricotgauge.decision.allotment.Answer;
-import org.apricotgauge.decision.allotment.Message;
+import org.apricotgauge.decision.ratelimit.TokenGrant;
+import org.apricotgauge.decision.ratelimit.TokenMessage;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageFormat;
 import org.msgpack.core.MessagePack;
@@ -32,19 +32,19 @@
         return length > 0 && MessageFormat.valueOf(bytes[0]).getValueType() == ValueType.MAP;
     }
 
-    static byte[] encode(Message message) {
+    static byte[] encode(TokenMessage message) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            if (message instanceof Message.Ask ask) {
+            if (message instanceof TokenMessage.Request ask) {
                 packer.packMapHeader(ASK_FIELDS);
                 packer.packString(ID).packLong(ask.id());
                 packer.packString(MEMBER).packString(ask.member());
                 packer.packString(COUNT).packInt(ask.count());
                 packer.packString(FINAL).packBoolean(ask.isFinal());
-            } else if (message instanceof Message.Reply reply) {
+            } else if (message instanceof TokenMessage.Response reply) {
                 packer.packMapHeader(REPLY_FIELDS);
                 packer.packString(ID).packLong(reply.id());
-                packer.packString(GRANTED).packInt(reply.answer().granted());
-                packer.packString(RETRY_AFTER).packLong(reply.answer().retryAfterMillis());
+                packer.packString(GRANTED).packInt(reply.grant().granted());
+                packer.packString(RETRY_AFTER).packLong(reply.grant().retryAfterMillis());
             }
             return packer.toByteArray();
         } catch (IOException e) {
@@ -57,7 +57,7 @@
      *
      * @throws IOException if the datagram is malformed
      */
-    static Message decode(byte[] bytes, int length) throws IOException {
+    static TokenMessage decode(byte[] bytes, int length) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
             return read(unpacker);
         } catch (MessagePackException | IllegalArgumentException e) {
@@ -65,7 +65,7 @@
         }
     }
 
-    private static Message read(MessageUnpacker unpacker) throws IOException {
+    private static TokenMessage read(MessageUnpacker unpacker) throws IOException {
         long id = 0;
         String member = null;
         int count = 0;
@@ -85,7 +85,7 @@
             }
         }
         return member != null
-                ? new Message.Ask(id, member, count, isFinal)
-                : new Message.Reply(id, new Answer(granted, retryAfterMillis));
+                ? new TokenMessage.Request(id, member, count, isFinal)
+                : new TokenMessage.Response(id, new TokenGrant(granted, retryAfterMillis));
     }
 }
--- a/src/main/java/org/apricotgauge/node/AllotmentService.java
+++ b/src/main/java/org/apricotgauge/node/AllotmentService.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Consumer;
 import org.apricotgauge.caller.MemberLimits;
-import org.apricotgauge.decision.allotment.AllotmentDesk;
-import org.apricotgauge.decision.allotment.Homes;
-import org.apricotgauge.decision.allotment.Message;
-import org.apricotgauge.decision.allotment.Reserve;
-import org.apricotgauge.decision.allotment.Verdict;
+import org.apricotgauge.decision.ratelimit.DistributedRateLimiter;
+import org.apricotgauge.decision.ratelimit.FallbackQuota;
+import org.apricotgauge.decision.ratelimit.MemberOwners;
+import org.apricotgauge.decision.ratelimit.RateLimitDecision;
+import org.apricotgauge.decision.ratelimit.TokenMessage;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Member;
 import org.apricotgauge.model.RateLimit;
@@ -25,7 +25,7 @@
 import org.apricotgauge.time.Ticker;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Gives the {@link AllotmentDesk} its datagrams, its clock and its turns. */
+/** Gives the {@link DistributedRateLimiter} its datagrams, its clock and its turns. */
 final class AllotmentService implements MemberLimits, AdminSources.AllotmentSource {
     private static final long EXPIRE_EVERY_MILLIS = 20;
 
@@ -36,7 +36,7 @@
     private final Ticker mTicker;
     private final Scheduler mScheduler;
     private final Executor mExecutor;
-    private final Reserve.Tolerance mTolerance;
+    private final FallbackQuota.Tolerance mTolerance;
     private final Counter mGranted;
     private final Counter mRefused;
     private final Counter mUnknown;
@@ -46,7 +46,7 @@
     private List<Runnable> mDue = new ArrayList<>();
     private List<Address> mOthers = List.of();
     private Address mOwn;
-    private AllotmentDesk mDesk;
+    private DistributedRateLimiter mDesk;
     private boolean mIsExpiring;
     private volatile DatagramPort mPort;
 
@@ -61,7 +61,7 @@
             RoutingState state,
             Ticker ticker,
             NodeHttp http,
-            Reserve.Tolerance tolerance,
+            FallbackQuota.Tolerance tolerance,
             MetricRegistry registry) {
         mState = state;
         mTicker = ticker;
@@ -79,8 +79,8 @@
         mOwn = own;
         mPort = port;
         mDesk =
-                new AllotmentDesk(
-                        Homes.of(own, mOthers),
+                new DistributedRateLimiter(
+                        MemberOwners.of(own, mOthers),
                         this::send,
                         this::limitOf,
                         mTolerance,
@@ -94,7 +94,7 @@
         }
         mOthers = others;
         if (mDesk != null) {
-            mDesk.fleetChanged(Homes.of(mOwn, others), mTicker.millis());
+            mDesk.fleetChanged(MemberOwners.of(mOwn, others), mTicker.millis());
         }
     }
 
@@ -103,22 +103,22 @@
         return member == null ? null : member.limit();
     }
 
-    private void send(Address to, Message message) {
+    private void send(Address to, TokenMessage message) {
         mMessages.inc();
         byte[] bytes = AllotmentCodec.encode(message);
         mPort.send(bytes, to);
     }
 
     @Override
-    public void take(Member member, Consumer<Verdict> request) {
-        Consumer<Verdict> counted =
+    public void take(Member member, Consumer<RateLimitDecision> request) {
+        Consumer<RateLimitDecision> counted =
                 verdict -> {
                     count(member.id(), verdict);
                     request.accept(verdict);
                 };
         take(
                 desk ->
-                        desk.take(
+                        desk.acquire(
                                 member.id(),
                                 member.limit(),
                                 mTicker.millis(),
@@ -126,12 +126,12 @@
                 Runnable::run);
     }
 
-    private void count(String member, Verdict verdict) {
+    private void count(String member, RateLimitDecision verdict) {
         Counts counts = mCounts.get(member, id -> new Counts());
-        if (verdict instanceof Verdict.Granted) {
+        if (verdict instanceof RateLimitDecision.Granted) {
             mGranted.inc();
             counts.mGranted.increment();
-        } else if (verdict instanceof Verdict.Refused) {
+        } else if (verdict instanceof RateLimitDecision.Refused) {
             mRefused.inc();
             counts.mRefused.increment();
         } else {
@@ -161,16 +161,16 @@
     }
 
     private synchronized String homeOf(String member) {
-        return mDesk == null ? "" : mDesk.home(member).toString();
+        return mDesk == null ? "" : mDesk.owner(member).toString();
     }
 
     /** Takes a message of another node, on the port's thread. */
-    void received(Address from, Message message) {
+    void received(Address from, TokenMessage message) {
         take(desk -> desk.received(from, message, mTicker.millis()), mExecutor);
     }
 
     // Requests go on outside the lock: they take other locks, and send.
-    private void take(Consumer<AllotmentDesk> work, Executor executor) {
+    private void take(Consumer<DistributedRateLimiter> work, Executor executor) {
         List<Runnable> due;
         synchronized (this) {
             work.accept(mDesk);
@@ -184,7 +184,7 @@
     }
 
     private void expireWhileWaiting() {
-        if (!mIsExpiring && mDesk.isWaiting()) {
+        if (!mIsExpiring && mDesk.hasPendingRequests()) {
             mIsExpiring = true;
             mScheduler.schedule(this::expire, EXPIRE_EVERY_MILLIS, TimeUnit.MILLISECONDS);
         }
--- a/src/main/java/org/apricotgauge/node/EvidenceShare.java
+++ b/src/main/java/org/apricotgauge/node/EvidenceShare.java
@@ -70,7 +70,7 @@
 
     private boolean takeBytes(int bytes) {
         synchronized (mBytes) {
-            return mBytes.take(bytes, mTicker.millis());
+            return mBytes.tryConsume(bytes, mTicker.millis());
         }
     }
 
--- a/src/main/java/org/apricotgauge/node/NodeProfile.java
+++ b/src/main/java/org/apricotgauge/node/NodeProfile.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 import org.apricotgauge.caller.EntryOptions;
-import org.apricotgauge.decision.allotment.Reserve;
+import org.apricotgauge.decision.ratelimit.FallbackQuota;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Checks;
 import org.apricotgauge.model.Vm;
@@ -32,7 +32,7 @@
         Address news,
         Address crashNews,
         int evidenceBytesPerSecond,
-        Reserve.Tolerance limitTolerance,
+        FallbackQuota.Tolerance limitTolerance,
         EntryOptions entry) {
 
     /** Checks the parts. */
--- a/src/main/java/org/apricotgauge/node/NodeSettings.java
+++ b/src/main/java/org/apricotgauge/node/NodeSettings.java
@@ -11,8 +11,8 @@
 import org.apricotgauge.cli.SettingFault;
 import org.apricotgauge.cli.SettingKinds;
 import org.apricotgauge.cli.SettingValues;
-import org.apricotgauge.decision.allotment.Reserve;
 import org.apricotgauge.decision.attempt.KeyLimits;
+import org.apricotgauge.decision.ratelimit.FallbackQuota;
 import org.apricotgauge.log.LogSettings;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Checks;
@@ -129,7 +129,7 @@
                 null,
                 null,
                 EvidenceShare.BYTES_PER_SECOND,
-                Reserve.Tolerance.NONE,
+                FallbackQuota.Tolerance.NONE,
                 EntryOptions.of(KeyLimits.DEFAULT));
     }
 
--- a/src/main/java/org/apricotgauge/node/QuarantineService.java
+++ b/src/main/java/org/apricotgauge/node/QuarantineService.java
@@ -84,7 +84,7 @@
         mCrashes = registry.counter("quarantine.crashes");
         mTable = new QuarantineTable(ticker, new Changes());
         mGossip = new CrashGossip(mTable, () -> mPeers, this::send, new SplittableRandom(), ticker);
-        registry.gauge("quarantine.held", () -> mTable::held);
+        registry.gauge("quarantine.held", () -> mTable::quarantinedCount);
         registry.gauge("quarantine.known", () -> mTable::size);
     }
 
@@ -136,7 +136,7 @@
         mCrashes.inc();
         log(target, runs);
         runs.forEach(run -> mNames.put(run.fingerprint(), run.request()));
-        mTable.crashed(
+        mTable.recordCrash(
                 runs.stream().map(BrokenRun::fingerprint).toList(),
                 ThreadLocalRandom.current().nextLong());
         mGossip.tick();
@@ -174,7 +174,7 @@
                                         entry.fingerprint().toString(),
                                         nameOf(entry.fingerprint()),
                                         entry.record().crashes().size(),
-                                        mTable.heldMillis(entry.fingerprint())))
+                                        mTable.remainingQuarantineMillis(entry.fingerprint())))
                 .toList();
     }
 
@@ -185,7 +185,7 @@
             throw new IllegalArgumentException(
                     "fingerprint must be 16 hex digits, '-' and 16 hex digits");
         }
-        boolean known = mTable.lift(parsed.get());
+        boolean known = mTable.release(parsed.get());
         LOGGER.infof("an operator lifts what is held against %s: %s", fingerprint, known);
         mGossip.tick();
         return known;
@@ -199,7 +199,7 @@
     /** Passes on, logs and counts what changes. */
     private final class Changes implements QuarantineListener {
         @Override
-        public void held(Fingerprint fingerprint, int crashes, long heldMillis) {
+        public void quarantined(Fingerprint fingerprint, int crashes, long heldMillis) {
             mEvents.record(
                     new RequestHeld(
                             fingerprint.toString(), nameOf(fingerprint), crashes, heldMillis));
@@ -211,14 +211,14 @@
         }
 
         @Override
-        public void changed(Fingerprint fingerprint, boolean isUrgent) {
+        public void recordChanged(Fingerprint fingerprint, boolean isUrgent) {
             if (isUrgent) {
-                mGossip.changed(fingerprint);
+                mGossip.recordChanged(fingerprint);
             }
         }
 
         @Override
-        public void full() {
+        public void tableFull() {
             long nowMillis = mTicker.millis();
             if (nowMillis - mFullLoggedMillis >= FULL_LOG_EVERY_MILLIS) {
                 mFullLoggedMillis = nowMillis;
--- a/src/main/java/org/apricotgauge/node/SidecarSettings.java
+++ b/src/main/java/org/apricotgauge/node/SidecarSettings.java
@@ -9,10 +9,10 @@
 import org.apricotgauge.cli.SettingKind;
 import org.apricotgauge.cli.SettingKinds;
 import org.apricotgauge.cli.SettingValues;
-import org.apricotgauge.decision.allotment.Reserve;
 import org.apricotgauge.decision.attempt.KeyLimits;
 import org.apricotgauge.decision.attempt.RetryAllowancePolicy;
 import org.apricotgauge.decision.attempt.RetryPolicy;
+import org.apricotgauge.decision.ratelimit.FallbackQuota;
 import org.apricotgauge.directory.PlatformTimes;
 import org.apricotgauge.http.SiteDialect;
 import org.apricotgauge.log.LogSettings;
@@ -63,7 +63,7 @@
         double servesOnMillis,
         double heartbeatMillis,
         double stopSeconds,
-        Reserve.Tolerance limitTolerance,
+        FallbackQuota.Tolerance limitTolerance,
         LogSettings log) {
     private static final double ALL_PERCENT = 100.0;
     private static final double MILLIS_PER_SECOND = 1_000.0;
@@ -260,7 +260,7 @@
                 values.get(SERVES_ON),
                 values.get(HEARTBEAT),
                 values.get(STOP),
-                new Reserve.Tolerance(
+                new FallbackQuota.Tolerance(
                         values.get(LIMIT_WINDOW), values.get(LIMIT_OVER), values.get(LIMIT_SLACK)),
                 LogSettings.of(values));
     }
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -369,7 +369,7 @@
         ObservedOutcome seen = error ? errorSeen() : ObservedOutcome.SUCCESS;
         leaveGate(resultOf(shed, error), shed ? ObservedOutcome.SHED : seen);
         if (status < FIRST_FAILURE_STATUS) {
-            mContext.quarantine().endedWell(mIdentity.fingerprint());
+            mContext.quarantine().recordSuccess(mIdentity.fingerprint());
         }
         mContext.metrics().answered().inc();
         stopTimers();
@@ -454,7 +454,7 @@
     }
 
     private long heldMillis() {
-        return mContext.quarantine().heldMillis(mIdentity.fingerprint());
+        return mContext.quarantine().remainingQuarantineMillis(mIdentity.fingerprint());
     }
 
     private void endNotRun(NotRunReason reason) {
--- a/src/main/java/org/apricotgauge/target/RunIdentity.java
+++ b/src/main/java/org/apricotgauge/target/RunIdentity.java
@@ -61,7 +61,7 @@
 
     /** Returns whether others with the same head are held, and this one's body is not known. */
     boolean isUnidentified(QuarantineTable quarantine) {
-        return !mBody.isComplete() && quarantine.isHeldHead(mHead);
+        return !mBody.isComplete() && quarantine.isQuarantinedHead(mHead);
     }
 
     BrokenRun broken() {
--- a/src/main/java/org/apricotgauge/target/SendCheck.java
+++ b/src/main/java/org/apricotgauge/target/SendCheck.java
@@ -52,7 +52,7 @@
         if (unfit != null) {
             return unfit;
         }
-        if (mContext.quarantine().heldMillis(mIdentity.fingerprint()) > 0) {
+        if (mContext.quarantine().remainingQuarantineMillis(mIdentity.fingerprint()) > 0) {
             return NotRunReason.QUARANTINED;
         }
         if (mIdentity.isUnidentified(mContext.quarantine())) {
--- a/src/test/java/org/apricotgauge/bench/allotment/AllotmentFleetProperties.java
+++ b/src/test/java/org/apricotgauge/bench/allotment/AllotmentFleetProperties.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
-import org.apricotgauge.decision.allotment.Reserve;
+import org.apricotgauge.decision.ratelimit.FallbackQuota;
 import org.junit.jupiter.api.Test;
 
 /** A fleet under one hot member, lost datagrams, cuts and kills: the sum over all nodes holds. */
@@ -41,7 +41,7 @@
                                         fleet.members(),
                                         fleet.nodes(),
                                         fleet::nowMillis,
-                                        new Reserve.Tolerance(
+                                        new FallbackQuota.Tolerance(
                                                 AllotmentFleet.WINDOW_SECONDS, OVER_SHARE, SLACK),
                                         loss,
                                         seed),
--- a/src/test/java/org/apricotgauge/caller/QuarantineCheckTest.java
+++ b/src/test/java/org/apricotgauge/caller/QuarantineCheckTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apricotgauge.decision.quarantine.BodyHash;
-import org.apricotgauge.decision.quarantine.DeafListener;
 import org.apricotgauge.decision.quarantine.Fingerprint;
+import org.apricotgauge.decision.quarantine.NoopQuarantineListener;
 import org.apricotgauge.decision.quarantine.QuarantineTable;
 import org.apricotgauge.http.ReplayableBody;
 import org.apricotgauge.time.ManualTicker;
@@ -22,7 +22,7 @@
     private static final byte[] SECOND = {4, 5};
 
     private final QuarantineTable mTable =
-            new QuarantineTable(new ManualTicker(), new DeafListener());
+            new QuarantineTable(new ManualTicker(), new NoopQuarantineListener());
     private final ReplayableBody mBody =
             new ReplayableBody(new BytesRequestContent(FIRST, SECOND), 1_000);
     private int mHeadsRead;
@@ -84,7 +84,7 @@
 
     private void hold(Fingerprint fingerprint) {
         for (int crashId = 0; crashId < 3; crashId++) {
-            mTable.crashed(List.of(fingerprint), crashId);
+            mTable.recordCrash(List.of(fingerprint), crashId);
         }
     }
 
--- a/src/test/java/org/apricotgauge/decision/RendezvousOrderTest.java
+++ b/src/test/java/org/apricotgauge/decision/RendezvousOrderTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void isTheSameWhateverOrderTheMembersAreKnownIn() {
+    void doesNotDependOnTheInputOrder() {
         List<String> shuffled = new ArrayList<>(MEMBERS);
         Collections.shuffle(shuffled, new Random(1));
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aMemberThatGoesLeavesTheOthersInPlace() {
+    void removingAMemberKeepsTheOrderOfTheOthers() {
         List<String> order = orderOf("a", MEMBERS);
         List<String> left = new ArrayList<>(MEMBERS);
         left.remove(order.get(0));
--- a/src/test/java/org/apricotgauge/decision/quarantine/BodyHashTest.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/BodyHashTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 class BodyHashTest {
-    private static final byte[] LONG = new byte[2 * BodyHash.HASHED_BYTES];
+    private static final byte[] LONG = new byte[2 * BodyHash.MAX_HASHED_BYTES];
 
     @Test
-    void aBodyWithoutBytesIsNoBody() {
+    void anEmptyBodyHasTheValueOfNoBody() {
         BodyHash hash = new BodyHash();
         assertThat(hash.value()).isEqualTo(Fingerprint.UNKNOWN_BODY);
 
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void piecesDoNotMatter() {
+    void theHashDoesNotDependOnChunks() {
         byte[] body = "ride at noon".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
         BodyHash inPieces = new BodyHash();
         inPieces.update(ByteBuffer.wrap(body, 0, 5));
@@ -31,9 +31,9 @@
     }
 
     @Test
-    void aLongBodyIsKnownBeforeItsEnd() {
+    void aLongBodyIsHashedBeforeItsEnd() {
         BodyHash hash = new BodyHash();
-        hash.update(ByteBuffer.wrap(LONG, 0, BodyHash.HASHED_BYTES - 1));
+        hash.update(ByteBuffer.wrap(LONG, 0, BodyHash.MAX_HASHED_BYTES - 1));
         assertThat(hash.isComplete()).isFalse();
 
         hash.update(ByteBuffer.wrap(LONG, 0, 10));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void otherBytesGiveAnotherHash() {
+    void differentBytesGiveADifferentHash() {
         byte[] other = Arrays.copyOf(LONG, LONG.length);
         other[100] = 1;
 
--- a/src/test/java/org/apricotgauge/decision/quarantine/SimulatedFleet.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/CrashGossipSimulation.java
@@ -12,24 +12,24 @@
 import org.apricotgauge.time.ManualTicker;
 
 /** Nodes that tell each other of crashes; messages take a tick, or are lost. */
-final class SimulatedFleet {
+final class CrashGossipSimulation {
     static final int TICK_MILLIS = 100;
     private static final int DOMAINS = 3;
 
     private final ManualTicker mTicker = new ManualTicker();
     private final SplittableRandom mRandom;
-    private final double mLost;
+    private final double mLossProbability;
     private final List<QuarantineTable> mTables = new ArrayList<>();
     private final List<CrashGossip> mGossips = new ArrayList<>();
-    private final Map<Integer, Integer> mLines = new HashMap<>();
-    private IntPredicate mIsCut = node -> false;
-    private List<Runnable> mOnTheWay = new ArrayList<>();
+    private final Map<Integer, Integer> mLinesSentByNode = new HashMap<>();
+    private IntPredicate mIsPartitioned = node -> false;
+    private List<Runnable> mInFlight = new ArrayList<>();
     private long mCrashId = 1;
-    private int mSent;
+    private int mMessagesSent;
 
-    SimulatedFleet(int nodes, double lost, long seed) {
+    CrashGossipSimulation(int nodes, double lost, long seed) {
         mRandom = new SplittableRandom(seed);
-        mLost = lost;
+        mLossProbability = lost;
         for (int i = 0; i < nodes; i++) {
             mTables.add(null);
             mGossips.add(null);
@@ -40,7 +40,7 @@
     }
 
     void restart(int node) {
-        QuarantineTable table = new QuarantineTable(mTicker, new PassOn(node));
+        QuarantineTable table = new QuarantineTable(mTicker, new GossipingListener(node));
         mTables.set(node, table);
         CrashGossip.Peers peers = peersOf(node);
         mGossips.set(
@@ -71,32 +71,34 @@
     }
 
     private void send(int from, Address to, CrashMessage message) {
-        mSent++;
-        mLines.merge(from, message.lines().size(), Integer::sum);
+        mMessagesSent++;
+        mLinesSentByNode.merge(from, message.lines().size(), Integer::sum);
         int node = to.port() - 1;
-        boolean arrives = mIsCut.test(from) == mIsCut.test(node) && mRandom.nextDouble() >= mLost;
+        boolean arrives =
+                mIsPartitioned.test(from) == mIsPartitioned.test(node)
+                        && mRandom.nextDouble() >= mLossProbability;
         if (arrives) {
-            mOnTheWay.add(() -> mGossips.get(node).received(address(from), message));
+            mInFlight.add(() -> mGossips.get(node).received(address(from), message));
         }
     }
 
     /** Nodes for which this holds are cut off from the others. */
-    void cut(IntPredicate isCut) {
-        mIsCut = isCut;
+    void partition(IntPredicate isCut) {
+        mIsPartitioned = isCut;
     }
 
     /** Lets a target end at each of the nodes, with this request at work. */
     void crashAt(Fingerprint fingerprint, int... nodes) {
         for (int node : nodes) {
-            mTables.get(node).crashed(List.of(fingerprint), mCrashId++);
+            mTables.get(node).recordCrash(List.of(fingerprint), mCrashId++);
             mGossips.get(node).tick();
         }
     }
 
     void run(int millis) {
         for (int passed = 0; passed < millis; passed += TICK_MILLIS) {
-            List<Runnable> arriving = mOnTheWay;
-            mOnTheWay = new ArrayList<>();
+            List<Runnable> arriving = mInFlight;
+            mInFlight = new ArrayList<>();
             arriving.forEach(Runnable::run);
             mTicker.advanceMillis(TICK_MILLIS);
             mGossips.forEach(CrashGossip::tick);
@@ -104,10 +106,10 @@
     }
 
     /** Returns the nodes that would let the request through. */
-    Set<Integer> ignorantOf(Fingerprint fingerprint) {
+    Set<Integer> nodesNotQuarantining(Fingerprint fingerprint) {
         Set<Integer> ignorant = new HashSet<>();
         for (int i = 0; i < mTables.size(); i++) {
-            if (mTables.get(i).heldMillis(fingerprint) == 0) {
+            if (mTables.get(i).remainingQuarantineMillis(fingerprint) == 0) {
                 ignorant.add(i);
             }
         }
@@ -126,40 +128,40 @@
         return mTicker.millis();
     }
 
-    int sent() {
-        return mSent;
+    int messagesSent() {
+        return mMessagesSent;
     }
 
-    void forgetSent() {
-        mLines.clear();
+    void resetLinesSent() {
+        mLinesSentByNode.clear();
     }
 
-    int mostLinesOfANode() {
-        return mLines.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    int maxLinesSentByANode() {
+        return mLinesSentByNode.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
     /** Lets a node pass on what it learns. */
-    private final class PassOn implements QuarantineListener {
+    private final class GossipingListener implements QuarantineListener {
         private final int mNode;
 
-        private PassOn(int node) {
+        private GossipingListener(int node) {
             mNode = node;
         }
 
         @Override
-        public void held(Fingerprint fingerprint, int crashes, long heldMillis) {}
+        public void quarantined(Fingerprint fingerprint, int crashes, long heldMillis) {}
 
         @Override
         public void released(Fingerprint fingerprint) {}
 
         @Override
-        public void changed(Fingerprint fingerprint, boolean isUrgent) {
+        public void recordChanged(Fingerprint fingerprint, boolean isUrgent) {
             if (isUrgent) {
-                mGossips.get(mNode).changed(fingerprint);
+                mGossips.get(mNode).recordChanged(fingerprint);
             }
         }
 
         @Override
-        public void full() {}
+        public void tableFull() {}
     }
 }
--- a/src/test/java/org/apricotgauge/decision/quarantine/CrashGossipTest.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/CrashGossipTest.java
@@ -12,120 +12,120 @@
     private static final Fingerprint LETHAL = new Fingerprint(1, 0);
 
     /** Within so much, every node shall know of a request that is held. */
-    private static final int BOUND_MILLIS = 3_000;
+    private static final int PROPAGATION_BOUND_MILLIS = 3_000;
 
     private static final int SEEDS = 50;
 
     /** Ten seconds of a third of what control may cost a node, and a burst. */
-    private static final int MOST_BYTES = 10 * 8_600 + 32_000;
+    private static final int MAX_BYTES = 10 * 8_600 + 32_000;
 
-    private static final int LEAST_LINE_BYTES = 38;
+    private static final int MIN_LINE_BYTES = 38;
 
     // Guards against a copy that is let through where the crashes were not seen: three nodes see
     // one crash each, and a part of all messages is lost.
     @ParameterizedTest
     @CsvSource({"24,0.0", "24,0.1", "24,0.3", "113,0.1", "1000,0.1"})
-    void crashesSeenByThreeNodesAreKnownToAllInTime(int nodes, double lost) {
+    void crashesSeenByThreeNodesReachAllInTime(int nodes, double lost) {
         for (int seed = 0; seed < (nodes > 200 ? 3 : SEEDS); seed++) {
-            SimulatedFleet fleet = new SimulatedFleet(nodes, lost, seed);
+            CrashGossipSimulation fleet = new CrashGossipSimulation(nodes, lost, seed);
             fleet.crashAt(LETHAL, 0, 1, 2);
-            fleet.run(BOUND_MILLIS);
-            assertThat(fleet.ignorantOf(LETHAL)).as("seed %d", seed).isEmpty();
+            fleet.run(PROPAGATION_BOUND_MILLIS);
+            assertThat(fleet.nodesNotQuarantining(LETHAL)).as("seed %d", seed).isEmpty();
         }
     }
 
     // Guards against a node that was not there when the news went round.
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1})
-    void aNodeThatStartsLaterLearnsInTime(double lost) {
+    void aRestartedNodeCatchesUpInTime(double lost) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedFleet fleet = new SimulatedFleet(24, lost, seed);
+            CrashGossipSimulation fleet = new CrashGossipSimulation(24, lost, seed);
             fleet.crashAt(LETHAL, 0, 1, 2);
             fleet.run(10_000);
             fleet.restart(7);
-            fleet.run(BOUND_MILLIS);
-            assertThat(fleet.ignorantOf(LETHAL)).as("seed %d", seed).isEmpty();
+            fleet.run(PROPAGATION_BOUND_MILLIS);
+            assertThat(fleet.nodesNotQuarantining(LETHAL)).as("seed %d", seed).isEmpty();
         }
     }
 
     // Guards against a node that was cut off when the news went round, and does not know it.
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1})
-    void aNodeBackFromACutLearnsInTime(double lost) {
+    void aNodeCatchesUpInTimeAfterAPartition(double lost) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedFleet fleet = new SimulatedFleet(24, lost, seed);
-            fleet.cut(node -> node == 7);
+            CrashGossipSimulation fleet = new CrashGossipSimulation(24, lost, seed);
+            fleet.partition(node -> node == 7);
             fleet.crashAt(LETHAL, 0, 1, 2);
             fleet.run(10_000);
-            fleet.cut(node -> false);
-            fleet.run(BOUND_MILLIS);
-            assertThat(fleet.ignorantOf(LETHAL)).as("seed %d", seed).isEmpty();
+            fleet.partition(node -> false);
+            fleet.run(PROPAGATION_BOUND_MILLIS);
+            assertThat(fleet.nodesNotQuarantining(LETHAL)).as("seed %d", seed).isEmpty();
         }
     }
 
     // Guards against half a proof on each side of a cut.
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1})
-    void bothSidesOfACutAddUpWhatTheySawOnceItHeals(double lost) {
+    void bothSidesOfAPartitionMergeTheirCrashesOnceItHeals(double lost) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            SimulatedFleet fleet = new SimulatedFleet(24, lost, seed);
-            fleet.cut(node -> node < 12);
+            CrashGossipSimulation fleet = new CrashGossipSimulation(24, lost, seed);
+            fleet.partition(node -> node < 12);
             fleet.crashAt(LETHAL, 0, 12, 13);
             fleet.run(10_000);
-            fleet.cut(node -> false);
-            fleet.run(BOUND_MILLIS);
-            assertThat(fleet.ignorantOf(LETHAL)).as("seed %d", seed).isEmpty();
+            fleet.partition(node -> false);
+            fleet.run(PROPAGATION_BOUND_MILLIS);
+            assertThat(fleet.nodesNotQuarantining(LETHAL)).as("seed %d", seed).isEmpty();
         }
     }
 
     // Guards against a guard that dies with its target before anybody asks it.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void whatANodeSawOutlivesIt(long seed) {
-        SimulatedFleet fleet = new SimulatedFleet(24, 0.1, seed);
+    void crashesReportedByANodeSurviveItsRestart(long seed) {
+        CrashGossipSimulation fleet = new CrashGossipSimulation(24, 0.1, seed);
         fleet.crashAt(LETHAL, 0, 1, 2);
         fleet.restart(0);
         fleet.restart(1);
         fleet.restart(2);
-        fleet.run(BOUND_MILLIS);
+        fleet.run(PROPAGATION_BOUND_MILLIS);
 
-        assertThat(fleet.ignorantOf(LETHAL)).isEmpty();
+        assertThat(fleet.nodesNotQuarantining(LETHAL)).isEmpty();
     }
 
     // Guards against refusing a popular request after a wave of crashes: one node saw it end well.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void oneGoodRunClearsARequestEverywhere(long seed) {
-        SimulatedFleet fleet = new SimulatedFleet(24, 0.1, seed);
+    void oneSuccessfulRunClearsARequestEverywhere(long seed) {
+        CrashGossipSimulation fleet = new CrashGossipSimulation(24, 0.1, seed);
         fleet.crashAt(LETHAL, 0, 1, 2, 3);
         fleet.run(500);
-        fleet.table(20).endedWell(LETHAL);
-        fleet.run(BOUND_MILLIS);
+        fleet.table(20).recordSuccess(LETHAL);
+        fleet.run(PROPAGATION_BOUND_MILLIS);
 
-        assertThat(fleet.ignorantOf(LETHAL)).hasSize(24);
+        assertThat(fleet.nodesNotQuarantining(LETHAL)).hasSize(24);
     }
 
     // Guards against an attacker whose invented requests make nodes talk without bound.
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void whatANodeSendsIsBounded(long seed) {
-        SimulatedFleet fleet = new SimulatedFleet(24, 0, seed);
+    void theBytesThatANodeSendsAreBounded(long seed) {
+        CrashGossipSimulation fleet = new CrashGossipSimulation(24, 0, seed);
         for (int i = 0; i < 2_000; i++) {
-            fleet.table(i % 24).crashed(List.of(new Fingerprint(i, i)), i);
+            fleet.table(i % 24).recordCrash(List.of(new Fingerprint(i, i)), i);
         }
-        fleet.forgetSent();
+        fleet.resetLinesSent();
         fleet.run(10_000);
 
-        assertThat(fleet.mostLinesOfANode()).isLessThan(MOST_BYTES / LEAST_LINE_BYTES);
+        assertThat(fleet.maxLinesSentByANode()).isLessThan(MAX_BYTES / MIN_LINE_BYTES);
     }
 
     // Guards against traffic on a site where nothing crashes.
     @ParameterizedTest
     @ValueSource(ints = {24})
-    void nothingIsSentWhileNothingIsKnown(int nodes) {
-        SimulatedFleet fleet = new SimulatedFleet(nodes, 0, 1);
+    void nothingIsSentWithoutCrashes(int nodes) {
+        CrashGossipSimulation fleet = new CrashGossipSimulation(nodes, 0, 1);
         fleet.run(60_000);
 
-        assertThat(fleet.sent()).isZero();
+        assertThat(fleet.messagesSent()).isZero();
     }
 }
--- a/src/test/java/org/apricotgauge/decision/quarantine/CrashRecordProperties.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/CrashRecordProperties.java
@@ -15,12 +15,12 @@
     private static final long SPAN_MILLIS = 1_000;
 
     @Property(seed = "5029", tries = 1_000)
-    void orderDoesNotMatter(@ForAll("records") CrashRecord a, @ForAll("records") CrashRecord b) {
+    void mergeIsCommutative(@ForAll("records") CrashRecord a, @ForAll("records") CrashRecord b) {
         assertThat(a.merge(b)).isEqualTo(b.merge(a));
     }
 
     @Property(seed = "5030", tries = 1_000)
-    void groupsDoNotMatter(
+    void mergeIsAssociative(
             @ForAll("records") CrashRecord a,
             @ForAll("records") CrashRecord b,
             @ForAll("records") CrashRecord c) {
@@ -28,16 +28,15 @@
     }
 
     @Property(seed = "5031", tries = 1_000)
-    void repetitionDoesNotMatter(
-            @ForAll("records") CrashRecord a, @ForAll("records") CrashRecord b) {
+    void mergeIsIdempotent(@ForAll("records") CrashRecord a, @ForAll("records") CrashRecord b) {
         CrashRecord once = a.merge(b);
 
         assertThat(once.merge(b).merge(a)).isEqualTo(once);
     }
 
     @Property(seed = "5032", tries = 1_000)
-    void noCrashIsHeldAgainstARequestThatEndedWellAfterIt(@ForAll("records") CrashRecord a) {
-        CrashRecord cleared = a.voidUntil(SPAN_MILLIS);
+    void clearedCrashesStayCleared(@ForAll("records") CrashRecord a) {
+        CrashRecord cleared = a.withClearedUntil(SPAN_MILLIS);
 
         assertThat(cleared.crashes()).isEmpty();
         assertThat(cleared.merge(a)).isEqualTo(cleared);
--- a/src/test/java/org/apricotgauge/decision/quarantine/FingerprintTest.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/FingerprintTest.java
@@ -7,24 +7,24 @@
 class FingerprintTest {
 
     @Test
-    void everyPartOfTheHeadCounts() {
-        long head = Fingerprint.headOf("GET", "a.example", "/x?y=1", "m");
-
-        assertThat(Fingerprint.headOf("GET", "a.example", "/x?y=1", "m")).isEqualTo(head);
-        assertThat(Fingerprint.headOf("PUT", "a.example", "/x?y=1", "m")).isNotEqualTo(head);
-        assertThat(Fingerprint.headOf("GET", "b.example", "/x?y=1", "m")).isNotEqualTo(head);
-        assertThat(Fingerprint.headOf("GET", "a.example", "/x?y=2", "m")).isNotEqualTo(head);
-        assertThat(Fingerprint.headOf("GET", "a.example", "/x?y=1", "n")).isNotEqualTo(head);
+    void theHashOfTheHeadCoversEveryPart() {
+        long head = Fingerprint.hashHead("GET", "a.example", "/x?y=1", "m");
+
+        assertThat(Fingerprint.hashHead("GET", "a.example", "/x?y=1", "m")).isEqualTo(head);
+        assertThat(Fingerprint.hashHead("PUT", "a.example", "/x?y=1", "m")).isNotEqualTo(head);
+        assertThat(Fingerprint.hashHead("GET", "b.example", "/x?y=1", "m")).isNotEqualTo(head);
+        assertThat(Fingerprint.hashHead("GET", "a.example", "/x?y=2", "m")).isNotEqualTo(head);
+        assertThat(Fingerprint.hashHead("GET", "a.example", "/x?y=1", "n")).isNotEqualTo(head);
     }
 
     @Test
-    void partsDoNotRunIntoEachOther() {
-        assertThat(Fingerprint.headOf("GET", "a", "b/x", "m"))
-                .isNotEqualTo(Fingerprint.headOf("GET", "ab", "/x", "m"));
+    void partsAreDelimited() {
+        assertThat(Fingerprint.hashHead("GET", "a", "b/x", "m"))
+                .isNotEqualTo(Fingerprint.hashHead("GET", "ab", "/x", "m"));
     }
 
     @Test
-    void itsTextIsReadBack() {
+    void parseReversesToString() {
         Fingerprint fingerprint = new Fingerprint(-5, 7);
 
         assertThat(Fingerprint.parse(fingerprint.toString())).contains(fingerprint);
--- a/src/test/java/org/apricotgauge/decision/allotment/HomesTest.java
+++ b/src/test/java/org/apricotgauge/decision/ratelimit/MemberOwnersTest.java
@@ -1,4 +1,4 @@
-package org.apricotgauge.decision.allotment;
+package org.apricotgauge.decision.ratelimit;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,32 +8,33 @@
 import org.junit.jupiter.api.Test;
 
 /** Which node counts a member's tokens. */
-class HomesTest {
+class MemberOwnersTest {
     private static final int NODES = 50;
     private static final int MEMBERS = 2_000;
 
     @Test
-    void allNodesWorkOutTheSameHomes() {
+    void allNodesComputeTheSameOwners() {
         for (int member = 0; member < 100; member++) {
             String id = "team-" + member;
-            Address home = homes(0, NODES).home(id);
-            assertThat(homes(7, NODES).home(id)).isEqualTo(home);
-            assertThat(homes(7, NODES).standIn(id)).isEqualTo(homes(31, NODES).standIn(id));
-            assertThat(homes(7, NODES).standIn(id).get()).isNotEqualTo(home);
+            Address home = owners(0, NODES).owner(id);
+            assertThat(owners(7, NODES).owner(id)).isEqualTo(home);
+            assertThat(owners(7, NODES).backupOwner(id))
+                    .isEqualTo(owners(31, NODES).backupOwner(id));
+            assertThat(owners(7, NODES).backupOwner(id).get()).isNotEqualTo(home);
         }
     }
 
     // Guards against a node that leaves and makes all members' tokens start anew.
     @Test
-    void aNodeThatLeavesMovesOnlyItsOwnMembers() {
-        Homes before = homes(0, NODES);
-        Homes after = homes(0, NODES - 1);
+    void removingANodeMovesOnlyItsMembers() {
+        MemberOwners before = owners(0, NODES);
+        MemberOwners after = owners(0, NODES - 1);
         for (int member = 0; member < MEMBERS; member++) {
             String id = "team-" + member;
-            if (!before.home(id).equals(address(NODES - 1))) {
-                assertThat(after.home(id)).isEqualTo(before.home(id));
+            if (!before.owner(id).equals(address(NODES - 1))) {
+                assertThat(after.owner(id)).isEqualTo(before.owner(id));
             } else {
-                assertThat(after.home(id)).isEqualTo(before.standIn(id).get());
+                assertThat(after.owner(id)).isEqualTo(before.backupOwner(id).get());
             }
         }
     }
@@ -44,7 +45,7 @@
         for (int member = 0; member < MEMBERS; member++) {
             String id = "team-" + member;
             for (int node = 0; node < NODES; node++) {
-                counts[node] += homes(0, NODES).home(id).equals(address(node)) ? 1 : 0;
+                counts[node] += owners(0, NODES).owner(id).equals(address(node)) ? 1 : 0;
             }
         }
         for (int count : counts) {
@@ -53,22 +54,22 @@
     }
 
     @Test
-    void ranksAreThePlacesInTheOrder() {
+    void ranksAreDistinct() {
         boolean[] seen = new boolean[NODES];
         for (int node = 0; node < NODES; node++) {
-            seen[homes(node, NODES).rank("team-1")] = true;
+            seen[owners(node, NODES).rank("team-1")] = true;
         }
         assertThat(seen).doesNotContain(false);
     }
 
-    private static Homes homes(int self, int nodes) {
+    private static MemberOwners owners(int self, int nodes) {
         List<Address> others = new ArrayList<>();
         for (int node = 0; node < nodes; node++) {
             if (node != self) {
                 others.add(address(node));
             }
         }
-        return Homes.of(address(self), others);
+        return MemberOwners.of(address(self), others);
     }
 
     private static Address address(int node) {
--- a/src/test/java/org/apricotgauge/functional/HeldRequestTest.java
+++ b/src/test/java/org/apricotgauge/functional/HeldRequestTest.java
@@ -68,8 +68,8 @@
                                 .target("one", "b", one.port(), 1)
                                 .target("other", "c", other.port(), 1)) {
             for (String guard : List.of("b", "c")) {
-                hops.vm(guard).quarantine().crashed(List.of(lethal), 1);
-                hops.vm(guard).quarantine().crashed(List.of(lethal), 2);
+                hops.vm(guard).quarantine().recordCrash(List.of(lethal), 1);
+                hops.vm(guard).quarantine().recordCrash(List.of(lethal), 2);
             }
 
             String answer = ask(hops, "GET", "/lethal", "").get();
@@ -103,7 +103,7 @@
     // Guards against a long body that is cut or changed by being read ahead.
     @Test
     void aLongBodyWithAHeldHeadArrivesWhole() throws Exception {
-        String body = "x".repeat(3 * BodyHash.HASHED_BYTES);
+        String body = "x".repeat(3 * BodyHash.MAX_HASHED_BYTES);
         CompletableFuture<String> seen = new CompletableFuture<>();
         RawTarget.Script script =
                 (head, bytes, out) -> {
@@ -132,12 +132,12 @@
 
     private static void hold(Hops hops, String vm, Fingerprint fingerprint) {
         for (int crashId = 0; crashId < 3; crashId++) {
-            hops.vm(vm).quarantine().crashed(List.of(fingerprint), crashId);
+            hops.vm(vm).quarantine().recordCrash(List.of(fingerprint), crashId);
         }
     }
 
     private static long headOf(String method, String path) {
-        return Fingerprint.headOf(method, "site", path, "anonymous");
+        return Fingerprint.hashHead(method, "site", path, "anonymous");
     }
 
     private static long hashOf(String body) {
--- a/src/test/java/org/apricotgauge/functional/Hops.java
+++ b/src/test/java/org/apricotgauge/functional/Hops.java
@@ -24,7 +24,7 @@
 import org.apricotgauge.decision.attempt.RetryAllowancePolicy;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 import org.apricotgauge.decision.health.DegradationEstimate;
-import org.apricotgauge.decision.quarantine.DeafListener;
+import org.apricotgauge.decision.quarantine.NoopQuarantineListener;
 import org.apricotgauge.decision.quarantine.QuarantineTable;
 import org.apricotgauge.decision.routing.RoutingTable;
 import org.apricotgauge.decision.routing.RoutingTableFactory;
@@ -94,7 +94,7 @@
     static final class HopVm {
         private final MetricRegistry mRegistry = new MetricRegistry();
         private final QuarantineTable mQuarantine =
-                new QuarantineTable(Ticker.system(), new DeafListener());
+                new QuarantineTable(Ticker.system(), new NoopQuarantineListener());
         private final Set<String> mToldLeaving = ConcurrentHashMap.newKeySet();
         private final RoutingTableFactory mTables;
         private volatile MemberLimits mLimits = MemberLimits.UNBOUNDED;
@@ -438,7 +438,7 @@
 
         @Override
         public void targetEnded(Target target, List<BrokenRun> runs) {
-            mVm.mQuarantine.crashed(
+            mVm.mQuarantine.recordCrash(
                     runs.stream().map(BrokenRun::fingerprint).toList(), System.nanoTime());
         }
 
--- a/src/test/java/org/apricotgauge/functional/KeysTest.java
+++ b/src/test/java/org/apricotgauge/functional/KeysTest.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Locale;
-import org.apricotgauge.decision.allotment.Verdict;
+import org.apricotgauge.decision.ratelimit.RateLimitDecision;
 import org.apricotgauge.model.KeyDigest;
 import org.apricotgauge.model.Member;
 import org.apricotgauge.model.RateLimit;
@@ -67,13 +67,14 @@
     void beyondItsLimitAMemberIsToldWhenToComeBack() throws Exception {
         try (RawTarget target = RawTarget.start(RawTarget.always(OK));
                 Hops hops = keyed(target)) {
-            hops.limits("a", (member, request) -> request.accept(new Verdict.Refused(2_500)));
+            hops.limits(
+                    "a", (member, request) -> request.accept(new RateLimitDecision.Refused(2_500)));
             assertThat(ask(hops, "/x", BEARER))
                     .startsWith("HTTP/1.1 429")
                     .contains("Retry-After: 3")
                     .contains("not-run: over-limit");
 
-            hops.limits("a", (member, request) -> request.accept(Verdict.UNKNOWN));
+            hops.limits("a", (member, request) -> request.accept(RateLimitDecision.UNKNOWN));
             assertThat(ask(hops, "/x", BEARER)).startsWith("HTTP/1.1 503");
             assertThat(target.runs()).isZero();
         }
--- a/src/test/java/org/apricotgauge/node/AllotmentCodecTest.java
+++ b/src/test/java/org/apricotgauge/node/AllotmentCodecTest.java
@@ -5,19 +5,19 @@
 
 import java.io.IOException;
 import java.util.List;
-import org.apricotgauge.decision.allotment.Answer;
-import org.apricotgauge.decision.allotment.Message;
 import org.apricotgauge.decision.quarantine.CrashMessage;
+import org.apricotgauge.decision.ratelimit.TokenGrant;
+import org.apricotgauge.decision.ratelimit.TokenMessage;
 import org.junit.jupiter.api.Test;
 
 /** Messages about tokens as datagrams. */
 class AllotmentCodecTest {
     @Test
     void messagesAreReadAsTheyWereWritten() throws IOException {
-        for (Message message :
+        for (TokenMessage message :
                 List.of(
-                        new Message.Ask(7, "stable", 3, true),
-                        new Message.Reply(Long.MAX_VALUE, new Answer(2, 1_500)))) {
+                        new TokenMessage.Request(7, "stable", 3, true),
+                        new TokenMessage.Response(Long.MAX_VALUE, new TokenGrant(2, 1_500)))) {
             byte[] bytes = AllotmentCodec.encode(message);
 
             assertThat(AllotmentCodec.isMessage(bytes, bytes.length)).isTrue();
@@ -35,7 +35,7 @@
 
     @Test
     void garbageIsRefused() {
-        byte[] bytes = AllotmentCodec.encode(new Message.Ask(7, "stable", 3, true));
+        byte[] bytes = AllotmentCodec.encode(new TokenMessage.Request(7, "stable", 3, true));
 
         assertThatThrownBy(() -> AllotmentCodec.decode(bytes, bytes.length - 2))
                 .isInstanceOf(IOException.class);
--- a/src/test/java/org/apricotgauge/node/CrashNewsTest.java
+++ b/src/test/java/org/apricotgauge/node/CrashNewsTest.java
@@ -89,10 +89,10 @@
         CrashGossip.Peers ofFirst = QuarantineService.peersOf(without(nodes, 1), "a", address(1));
         CrashGossip.Peers ofThird = QuarantineService.peersOf(without(nodes, 9), "b", address(9));
 
-        assertThat(ofFirst.after()).containsExactly(address(2), address(9), address(3));
-        assertThat(ofFirst.near()).containsExactly(address(2));
-        assertThat(ofThird.after()).containsExactly(address(3), address(1), address(2));
-        assertThat(ofThird.near()).isEmpty();
+        assertThat(ofFirst.successors()).containsExactly(address(2), address(9), address(3));
+        assertThat(ofFirst.sameDomain()).containsExactly(address(2));
+        assertThat(ofThird.successors()).containsExactly(address(3), address(1), address(2));
+        assertThat(ofThird.sameDomain()).isEmpty();
     }
 
     private static List<SiteMembers.Peer> without(List<SiteMembers.Peer> nodes, int port) {
