--- a/src/main/java/org/apricotgauge/bench/FifoPolicy.java
+++ b/src/main/java/org/apricotgauge/bench/FifoPolicy.java
@@ -3,11 +3,11 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
-import org.apricotgauge.decision.admission.Changes;
-import org.apricotgauge.decision.admission.Offer;
-import org.apricotgauge.decision.admission.Refusal;
-import org.apricotgauge.decision.admission.RefusalReason;
-import org.apricotgauge.decision.admission.Result;
+import org.apricotgauge.decision.admission.AdmissionDecision;
+import org.apricotgauge.decision.admission.QueueChanges;
+import org.apricotgauge.decision.admission.Rejection;
+import org.apricotgauge.decision.admission.RejectionReason;
+import org.apricotgauge.decision.admission.RunResult;
 import org.apricotgauge.decision.admission.Ticket;
 
 /** The baseline: a fixed limit and one bounded FIFO; knows neither members nor deadlines. */
@@ -23,30 +23,32 @@
     }
 
     @Override
-    public Offer offer(Ticket ticket, long nowMillis) {
+    public AdmissionDecision offer(Ticket ticket, long nowMillis) {
         if (mRunning < mSlots) {
             mRunning++;
-            return new Offer.Admitted();
+            return new AdmissionDecision.Admitted();
         }
         if (mQueue.size() >= mMaxQueued) {
-            return new Offer.Refused(new Refusal(ticket, RefusalReason.QUEUE_FULL, 1));
+            return new AdmissionDecision.Rejected(
+                    new Rejection(ticket, RejectionReason.QUEUE_FULL, 1));
         }
         mQueue.add(ticket);
-        return new Offer.Queued(List.of());
+        return new AdmissionDecision.Queued(List.of());
     }
 
     @Override
-    public Changes release(Ticket ticket, Result result, long serviceMicros, long nowMillis) {
+    public QueueChanges release(
+            Ticket ticket, RunResult result, long serviceMicros, long nowMillis) {
         Ticket next = mQueue.poll();
         if (next == null) {
             mRunning--;
-            return Changes.NONE;
+            return QueueChanges.NONE;
         }
-        return new Changes(List.of(next), List.of());
+        return new QueueChanges(List.of(next), List.of());
     }
 
     @Override
-    public Changes expire(long nowMillis) {
-        return Changes.NONE;
+    public QueueChanges expire(long nowMillis) {
+        return QueueChanges.NONE;
     }
 }
--- a/src/main/java/org/apricotgauge/bench/MeasureCapacity.java
+++ b/src/main/java/org/apricotgauge/bench/MeasureCapacity.java
@@ -207,8 +207,9 @@
         return configuration;
     }
 
-    private static RoutingTableFactory.View view() {
-        return new RoutingTableFactory.View(target -> null, target -> false, target -> 1.0);
+    private static RoutingTableFactory.TargetStateSource view() {
+        return new RoutingTableFactory.TargetStateSource(
+                target -> null, target -> false, target -> 1.0);
     }
 
     private static RoutingTable table(Configuration configuration) {
--- a/src/main/java/org/apricotgauge/bench/OverloadSimulation.java
+++ b/src/main/java/org/apricotgauge/bench/OverloadSimulation.java
@@ -9,9 +9,9 @@
 import java.util.PriorityQueue;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.apricotgauge.decision.admission.Changes;
-import org.apricotgauge.decision.admission.Offer;
-import org.apricotgauge.decision.admission.Result;
+import org.apricotgauge.decision.admission.AdmissionDecision;
+import org.apricotgauge.decision.admission.QueueChanges;
+import org.apricotgauge.decision.admission.RunResult;
 import org.apricotgauge.decision.admission.Ticket;
 
 /**
@@ -80,12 +80,12 @@
         Ticket ticket = new Ticket(mTicketId++, stream.member(), stream.priority(), deadlineMillis);
         mFigures.onOffered(ticket);
         mArrivedAtMicros.put(ticket.id(), mNowMicros);
-        Offer offer = mPolicy.offer(ticket, nowMillis());
-        if (offer instanceof Offer.Admitted) {
+        AdmissionDecision offer = mPolicy.offer(ticket, nowMillis());
+        if (offer instanceof AdmissionDecision.Admitted) {
             start(ticket);
-        } else if (offer instanceof Offer.Refused) {
+        } else if (offer instanceof AdmissionDecision.Rejected) {
             mArrivedAtMicros.remove(ticket.id());
-        } else if (offer instanceof Offer.Queued queued) {
+        } else if (offer instanceof AdmissionDecision.Queued queued) {
             queued.displaced().forEach(refusal -> forget(refusal.ticket()));
         }
     }
@@ -102,7 +102,7 @@
             return;
         }
         long shedMicros = OverloadScenario.SHED_MICROS;
-        schedule(shedMicros, () -> end(ticket, Result.SHED, shedMicros));
+        schedule(shedMicros, () -> end(ticket, RunResult.SHED, shedMicros));
     }
 
     private void serve(Ticket ticket, long startMicros) {
@@ -113,7 +113,7 @@
                 () -> {
                     answered(ticket, serviceMicros);
                     freeSlot();
-                    end(ticket, Result.ANSWERED, mNowMicros - startMicros);
+                    end(ticket, RunResult.ANSWERED, mNowMicros - startMicros);
                 });
     }
 
@@ -136,7 +136,7 @@
         mFigures.onAnswered(ticket, serviceMicros, totalMicros, inTime);
     }
 
-    private void end(Ticket ticket, Result result, long serviceMicros) {
+    private void end(Ticket ticket, RunResult result, long serviceMicros) {
         forget(ticket);
         apply(mPolicy.release(ticket, result, serviceMicros, nowMillis()));
     }
@@ -146,8 +146,8 @@
         apply(mPolicy.expire(nowMillis()));
     }
 
-    private void apply(Changes changes) {
-        changes.refused().forEach(refusal -> forget(refusal.ticket()));
+    private void apply(QueueChanges changes) {
+        changes.rejected().forEach(refusal -> forget(refusal.ticket()));
         List<Ticket> admitted = changes.admitted();
         admitted.forEach(this::start);
     }
--- a/src/main/java/org/apricotgauge/caller/CallerExchange.java
+++ b/src/main/java/org/apricotgauge/caller/CallerExchange.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.apricotgauge.decision.admission.Patience;
+import org.apricotgauge.decision.admission.QueueingPolicy;
 import org.apricotgauge.decision.attempt.Attempt;
 import org.apricotgauge.decision.attempt.GuardClockEstimate;
 import org.apricotgauge.decision.attempt.NotRunReason;
@@ -202,7 +202,7 @@
     }
 
     /** Returns whether the present attempt may wait for a slot. */
-    Patience patience() {
+    QueueingPolicy patience() {
         return mChoice.patience();
     }
 
--- a/src/main/java/org/apricotgauge/caller/DirectAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/DirectAttempt.java
@@ -81,7 +81,7 @@
             mContext.observer().targetLeaving(mCandidate.target());
         }
         if (notice.unreadable().isEmpty()) {
-            mCandidate.load().reportLimit(notice.limit().orElse(null));
+            mCandidate.load().setStartLimit(notice.limit().orElse(null));
         }
         mAccount.observed(AttemptAccount.outcomeOf(answer.getStatus()));
         if (HttpStatus.isSuccess(answer.getStatus())) {
--- a/src/main/java/org/apricotgauge/caller/EntryHandler.java
+++ b/src/main/java/org/apricotgauge/caller/EntryHandler.java
@@ -111,7 +111,7 @@
                         ExitWatch.of(
                                 direct,
                                 scheduler,
-                                target -> mTable.get().takesWork(target),
+                                target -> mTable.get().acceptsRequests(target),
                                 observer::targetEnded),
                         quarantine,
                         new DecisionLog(ticker),
--- a/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import org.apricotgauge.decision.admission.Patience;
+import org.apricotgauge.decision.admission.QueueingPolicy;
 import org.apricotgauge.decision.attempt.Attempt;
 import org.apricotgauge.decision.attempt.FenceAnswer;
 import org.apricotgauge.decision.attempt.GuardClockEstimate;
@@ -125,7 +125,7 @@
                             mExchange.caution().name().toLowerCase(Locale.ROOT));
                     mCandidate
                             .load()
-                            .limit()
+                            .startLimit()
                             .ifPresent(
                                     limit -> headers.put(HeaderNames.TARGET_LIMIT, limit.toText()));
                     addPatience(headers);
@@ -153,8 +153,8 @@
     }
 
     private void addPatience(HttpFields.Mutable headers) {
-        Patience patience = mExchange.patience();
-        if (patience != Patience.MAY_WAIT) {
+        QueueingPolicy patience = mExchange.patience();
+        if (patience != QueueingPolicy.MAY_WAIT) {
             headers.put(HeaderNames.PATIENCE, patience.name().toLowerCase(Locale.ROOT));
         }
         headers.put(HeaderNames.USEFUL_MILLIS, Math.max(0, mExchange.usefulMillis()));
@@ -234,13 +234,13 @@
     private void reportLoad(HttpFields headers) {
         long loadPermille = headers.getLongField(HeaderNames.LOAD_PERMILLE);
         if (loadPermille >= 0) {
-            mCandidate.load().report((int) loadPermille, mContext.ticker().nanos());
+            mCandidate.load().reportLoad((int) loadPermille, mContext.ticker().nanos());
             String limit = headers.get(HeaderNames.TARGET_LIMIT);
-            mCandidate.load().reportLimit(StartLimit.parseOrNone(limit).orElse(null));
+            mCandidate.load().setStartLimit(StartLimit.parseOrNone(limit).orElse(null));
         }
         DegradationEstimate.Report.parse(headers.get(HeaderNames.HEALTH))
                 .map(told -> told.receivedAt(mContext.ticker().millis()))
-                .ifPresent(mCandidate.load()::reportHealth);
+                .ifPresent(mCandidate.load()::reportDegradation);
     }
 
     @Override
@@ -298,7 +298,7 @@
     // of
     // this entry that must not repeat would meet the same silence.
     private void distrust() {
-        mCandidate.load().distrust(DISTRUSTED, mContext.ticker().millis());
+        mCandidate.load().recordFailure(DISTRUSTED, mContext.ticker().millis());
     }
 
     private void fenced(FenceAnswer answer, boolean connectionOpen) {
--- a/src/main/java/org/apricotgauge/caller/TargetChoice.java
+++ b/src/main/java/org/apricotgauge/caller/TargetChoice.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Supplier;
-import org.apricotgauge.decision.admission.Patience;
+import org.apricotgauge.decision.admission.QueueingPolicy;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
 import org.apricotgauge.decision.routing.BalancingPolicy;
@@ -62,15 +62,15 @@
     }
 
     /** Returns whether the present attempt may wait for a slot. */
-    Patience patience() {
+    QueueingPolicy patience() {
         if (mContext.reach() != EntryOptions.Reach.GUARDS_ONLY || mLastResort) {
-            return Patience.MAY_WAIT;
+            return QueueingPolicy.MAY_WAIT;
         }
         if (mRefusedBusy < LOOKING_ATTEMPTS) {
-            return Patience.NO_WAIT;
+            return QueueingPolicy.NO_WAIT;
         }
         boolean seeksUse = mRefusedBusy < LOOKING_ATTEMPTS + USEFUL_ATTEMPTS;
-        return seeksUse ? Patience.WHILE_USEFUL : Patience.MAY_WAIT;
+        return seeksUse ? QueueingPolicy.WHILE_USEFUL : QueueingPolicy.MAY_WAIT;
     }
 
     /**
@@ -154,7 +154,9 @@
         Optional<Candidate> best =
                 mSuspects.values().stream()
                         .filter(one -> present(one.target().id()).isPresent())
-                        .min(Comparator.comparingDouble(one -> one.load().sick(nowNanos)));
+                        .min(
+                                Comparator.comparingDouble(
+                                        one -> one.load().degradationProbability(nowNanos)));
         mLastResort = best.isPresent();
         return best;
     }
--- a/src/main/java/org/apricotgauge/decision/admission/AdaptiveLimit.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdaptiveConcurrencyLimit.java
@@ -7,20 +7,20 @@
  * (503), or, if the target queues instead, as a longer service time. The limit steps down on
  * either, and tries one more after a wait that doubles while the tries fail.
  */
-final class AdaptiveLimit {
-    private static final long MIN_WAIT_MILLIS = 50;
-    private static final long MAX_WAIT_MILLIS = 800;
-    private static final double SLOW = 1.5;
+final class AdaptiveConcurrencyLimit {
+    private static final long MIN_GROWTH_DELAY_MILLIS = 50;
+    private static final long MAX_GROWTH_DELAY_MILLIS = 800;
+    private static final double SLOW_INFLATION = 1.5;
 
     private final int mSlots;
     private int mLimit;
-    private long mWaitMillis = MIN_WAIT_MILLIS;
+    private long mGrowthDelayMillis = MIN_GROWTH_DELAY_MILLIS;
     private long mNextGrowthMillis = Long.MIN_VALUE;
     private long mChangedAtMillis = Long.MIN_VALUE;
     private int mAnsweredSinceChange;
-    private boolean mGrewLast;
+    private boolean mLastChangeWasGrowth;
 
-    AdaptiveLimit(int slots) {
+    AdaptiveConcurrencyLimit(int slots) {
         mSlots = slots;
         mLimit = slots;
     }
@@ -37,7 +37,10 @@
             return;
         }
         boolean growthFailed = mAnsweredSinceChange < mSlots;
-        mWaitMillis = growthFailed ? Math.min(MAX_WAIT_MILLIS, mWaitMillis * 2) : MIN_WAIT_MILLIS;
+        mGrowthDelayMillis =
+                growthFailed
+                        ? Math.min(MAX_GROWTH_DELAY_MILLIS, mGrowthDelayMillis * 2)
+                        : MIN_GROWTH_DELAY_MILLIS;
         change(Math.max(0, mLimit - 1), nowMillis);
     }
 
@@ -45,8 +48,8 @@
     void onAnswered(boolean limitReached, long nowMillis) {
         mAnsweredSinceChange++;
         // A step that held tells that slots have come free; the others are tried without delay.
-        if (mGrewLast && mAnsweredSinceChange >= mSlots) {
-            mWaitMillis = MIN_WAIT_MILLIS;
+        if (mLastChangeWasGrowth && mAnsweredSinceChange >= mSlots) {
+            mGrowthDelayMillis = MIN_GROWTH_DELAY_MILLIS;
             mNextGrowthMillis = Math.min(mNextGrowthMillis, nowMillis);
         }
         if (limitReached) {
@@ -61,8 +64,8 @@
      * starved of work without becoming any faster.
      */
     void onBatch(double inflation, long nowMillis) {
-        if (inflation > SLOW && mLimit > (mSlots + 1) / 2) {
-            mWaitMillis = MAX_WAIT_MILLIS;
+        if (inflation > SLOW_INFLATION && mLimit > (mSlots + 1) / 2) {
+            mGrowthDelayMillis = MAX_GROWTH_DELAY_MILLIS;
             change(mLimit - 1, nowMillis);
         }
     }
@@ -79,14 +82,14 @@
             return;
         }
         change(mLimit + 1, nowMillis);
-        mGrewLast = true;
+        mLastChangeWasGrowth = true;
     }
 
     private void change(int limit, long nowMillis) {
         mLimit = limit;
-        mGrewLast = false;
+        mLastChangeWasGrowth = false;
         mAnsweredSinceChange = 0;
         mChangedAtMillis = nowMillis;
-        mNextGrowthMillis = nowMillis + mWaitMillis;
+        mNextGrowthMillis = nowMillis + mGrowthDelayMillis;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/admission/AdmissionConfig.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdmissionConfig.java
@@ -9,10 +9,10 @@
  * @param maxQueued tickets that wait at once
  * @param maxMembers members told apart at once; beyond it the others share a few queues
  * @param initialServiceMicros service time assumed until some are measured
- * @param use who else uses the slots
+ * @param slotUse who else uses the slots
  */
 public record AdmissionConfig(
-        int slots, int maxQueued, int maxMembers, long initialServiceMicros, SlotUse use) {
+        int slots, int maxQueued, int maxMembers, long initialServiceMicros, SlotUse slotUse) {
     /** Who uses the slots of a target. */
     public enum SlotUse {
         /**
@@ -37,7 +37,7 @@
         Checks.inRange("maxQueued", maxQueued, 1, 100_000);
         Checks.inRange("maxMembers", maxMembers, 1, 100_000);
         Checks.inRange("initialServiceMicros", initialServiceMicros, 1, 3_600_000_000L);
-        Checks.notNull("use", use);
+        Checks.notNull("use", slotUse);
     }
 
     /** Makes bounds of slots that others use, too. */
--- a/src/main/java/org/apricotgauge/decision/admission/Offer.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdmissionDecision.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /** What becomes of a ticket that is offered to an {@link AdmissionQueue}. */
-public sealed interface Offer {
+public sealed interface AdmissionDecision {
 
     /** It has a slot now; release it once. */
-    record Admitted() implements Offer {}
+    record Admitted() implements AdmissionDecision {}
 
     /**
      * It waits.
      *
      * @param displaced tickets that lost their place to it; answer them at once
      */
-    record Queued(List<Refusal> displaced) implements Offer {
+    record Queued(List<Rejection> displaced) implements AdmissionDecision {
         /** Copies the list. */
         public Queued {
             displaced = List.copyOf(displaced);
@@ -23,7 +23,7 @@
     /**
      * It gets no place; answer it at once.
      *
-     * @param refusal reason and Retry-After
+     * @param rejection reason and Retry-After
      */
-    record Refused(Refusal refusal) implements Offer {}
+    record Rejected(Rejection rejection) implements AdmissionDecision {}
 }
--- a/src/main/java/org/apricotgauge/decision/admission/AdmissionQueue.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdmissionQueue.java
@@ -31,17 +31,17 @@
     private static final double MICROS_PER_MILLI = 1_000;
 
     private final AdmissionConfig mConfig;
-    private final FairQueue mWaiting;
-    private final AdaptiveLimit mLimit;
-    private final Pace mPace = new Pace();
+    private final FairQueue mQueue;
+    private final AdaptiveConcurrencyLimit mConcurrencyLimit;
+    private final StartRateLimiter mStartRateLimiter = new StartRateLimiter();
     private final ServiceTimes mServiceTimes;
     private final Map<Long, Running> mRunning = new HashMap<>();
 
     /** Makes an empty queue. */
     public AdmissionQueue(AdmissionConfig config) {
         mConfig = Checks.notNull("config", config);
-        mWaiting = new FairQueue(config.maxMembers(), config.initialServiceMicros());
-        mLimit = new AdaptiveLimit(config.slots());
+        mQueue = new FairQueue(config.maxMembers(), config.initialServiceMicros());
+        mConcurrencyLimit = new AdaptiveConcurrencyLimit(config.slots());
         mServiceTimes = new ServiceTimes(config.initialServiceMicros());
     }
 
@@ -50,52 +50,55 @@
      *
      * @throws IllegalStateException if a ticket of this identifier waits or runs already
      */
-    public synchronized Offer offer(Ticket ticket, long nowMillis) {
-        if (mWaiting.contains(ticket) || mRunning.containsKey(ticket.id())) {
+    public synchronized AdmissionDecision offer(Ticket ticket, long nowMillis) {
+        if (mQueue.contains(ticket) || mRunning.containsKey(ticket.id())) {
             throw new IllegalStateException("ticket offered twice: " + ticket);
         }
-        mLimit.onTick(nowMillis);
+        mConcurrencyLimit.onTick(nowMillis);
         if (ticket.deadlineMillis() <= nowMillis) {
-            return refused(ticket, RefusalReason.DEADLINE_TOO_SHORT, nowMillis);
+            return reject(ticket, RejectionReason.DEADLINE_TOO_SHORT, nowMillis);
         }
-        if (mWaiting.size() == 0 && mRunning.size() < mLimit.get() && mPace.tryStart(nowMillis)) {
-            run(mWaiting.startNow(ticket), nowMillis);
-            return new Offer.Admitted();
+        if (mQueue.size() == 0
+                && mRunning.size() < mConcurrencyLimit.get()
+                && mStartRateLimiter.tryStart(nowMillis)) {
+            addRunning(mQueue.startWithoutQueueing(ticket), nowMillis);
+            return new AdmissionDecision.Admitted();
         }
-        boolean useful = isUseful(ticket, nowMillis + waitMillis(ticket, true, nowMillis));
+        boolean useful = meetsSoftDeadline(ticket, nowMillis + waitMillis(ticket, true, nowMillis));
         if (!mayWait(ticket, useful)) {
-            return refused(ticket, RefusalReason.BUSY, nowMillis);
+            return reject(ticket, RejectionReason.BUSY, nowMillis);
         }
-        double neededMillis = waitMillis(ticket, useful, nowMillis) + allowanceMillis(ticket);
+        double neededMillis = waitMillis(ticket, useful, nowMillis) + upperServiceMillis(ticket);
         if (nowMillis + neededMillis > ticket.deadlineMillis()) {
-            return refused(ticket, RefusalReason.DEADLINE_TOO_SHORT, nowMillis);
+            return reject(ticket, RejectionReason.DEADLINE_TOO_SHORT, nowMillis);
         }
-        if (!useful && !mayWaitLate(ticket)) {
-            return refused(ticket, RefusalReason.BUSY, nowMillis);
+        if (!useful && !mayWaitPastSoftDeadline(ticket)) {
+            return reject(ticket, RejectionReason.BUSY, nowMillis);
         }
         return enqueue(ticket, useful, nowMillis);
     }
 
     private static boolean mayWait(Ticket ticket, boolean useful) {
-        return switch (ticket.patience()) {
+        return switch (ticket.queueingPolicy()) {
             case NO_WAIT -> false;
             case WHILE_USEFUL -> useful;
             case MAY_WAIT -> true;
         };
     }
 
-    private Offer enqueue(Ticket ticket, boolean useful, long nowMillis) {
-        if (mWaiting.size() < mConfig.maxQueued()) {
-            mWaiting.add(ticket, useful);
-            return new Offer.Queued(List.of());
+    private AdmissionDecision enqueue(Ticket ticket, boolean useful, long nowMillis) {
+        if (mQueue.size() < mConfig.maxQueued()) {
+            mQueue.add(ticket, useful);
+            return new AdmissionDecision.Queued(List.of());
         }
-        Ticket victim = mWaiting.victimFor(ticket);
+        Ticket victim = mQueue.victimFor(ticket);
         if (victim == null) {
-            return refused(ticket, RefusalReason.QUEUE_FULL, nowMillis);
+            return reject(ticket, RejectionReason.QUEUE_FULL, nowMillis);
         }
-        mWaiting.remove(victim);
-        mWaiting.add(ticket, useful);
-        return new Offer.Queued(List.of(refusal(victim, RefusalReason.QUEUE_FULL, nowMillis)));
+        mQueue.remove(victim);
+        mQueue.add(ticket, useful);
+        return new AdmissionDecision.Queued(
+                List.of(rejection(victim, RejectionReason.QUEUE_FULL, nowMillis)));
     }
 
     /**
@@ -105,40 +108,40 @@
      * @return tickets that got the slot, and tickets whose deadline came too near
      * @throws IllegalStateException if the ticket has no slot
      */
-    public synchronized Changes release(
-            Ticket ticket, Result result, long serviceMicros, long nowMillis) {
-        boolean limitReached = mRunning.size() >= mLimit.get();
+    public synchronized QueueChanges release(
+            Ticket ticket, RunResult result, long serviceMicros, long nowMillis) {
+        boolean limitReached = mRunning.size() >= mConcurrencyLimit.get();
         Running running = mRunning.remove(ticket.id());
         if (running == null) {
             throw new IllegalStateException("ticket released that has no slot: " + ticket);
         }
-        if (result == Result.UNSENT) {
-            mPace.giveBack();
+        if (result == RunResult.UNSENT) {
+            mStartRateLimiter.returnToken();
         }
-        mWaiting.settle(running.charge(), serviceMicros);
+        mQueue.correctCharge(running.charge(), serviceMicros);
         boolean batchDone = false;
-        if (result == Result.ANSWERED) {
-            batchDone = mServiceTimes.add(ticket.work(), serviceMicros);
-            mWaiting.setMeanMicros(mServiceTimes.meanMicros());
+        if (result == RunResult.ANSWERED) {
+            batchDone = mServiceTimes.add(ticket.workKind(), serviceMicros);
+            mQueue.setMeanServiceMicros(mServiceTimes.meanMicros());
         }
-        if (mConfig.use() == AdmissionConfig.SlotUse.SHARED) {
+        if (mConfig.slotUse() == AdmissionConfig.SlotUse.SHARED) {
             adaptLimit(running, result, limitReached, batchDone, nowMillis);
         }
-        return fill(nowMillis);
+        return startQueued(nowMillis);
     }
 
     private void adaptLimit(
             Running running,
-            Result result,
+            RunResult result,
             boolean limitReached,
             boolean batchDone,
             long nowMillis) {
-        if (result == Result.SHED) {
-            mLimit.onShed(running.admittedAtMillis(), nowMillis);
-        } else if (result == Result.ANSWERED) {
-            mLimit.onAnswered(limitReached, nowMillis);
+        if (result == RunResult.SHED) {
+            mConcurrencyLimit.onShed(running.admittedAtMillis(), nowMillis);
+        } else if (result == RunResult.ANSWERED) {
+            mConcurrencyLimit.onAnswered(limitReached, nowMillis);
             if (batchDone) {
-                mLimit.onBatch(mServiceTimes.inflation(), nowMillis);
+                mConcurrencyLimit.onBatch(mServiceTimes.inflation(), nowMillis);
             }
         }
     }
@@ -148,35 +151,35 @@
      *
      * @param perSecond starts in a second, more than 0
      */
-    public synchronized void limitStarts(double perSecond, long nowMillis) {
-        mPace.limit(perSecond, nowMillis);
+    public synchronized void setStartLimit(double perSecond, long nowMillis) {
+        mStartRateLimiter.setLimit(perSecond, nowMillis);
     }
 
     /** Keeps the starts to no limit any more; returns what may start now. */
-    public synchronized Changes liftLimit(long nowMillis) {
-        mPace.lift();
-        return fill(nowMillis);
+    public synchronized QueueChanges removeStartLimit(long nowMillis) {
+        mStartRateLimiter.removeLimit();
+        return startQueued(nowMillis);
     }
 
     /** Returns whether a request could start but for the limit that the target has named. */
-    public synchronized boolean isPaced(long nowMillis) {
-        return !mPace.mayStart(nowMillis);
+    public synchronized boolean isRateLimited(long nowMillis) {
+        return !mStartRateLimiter.mayStart(nowMillis);
     }
 
     /** Takes out the waiting tickets that can't be served any more; answer them at once. */
-    public synchronized Changes expire(long nowMillis) {
-        mLimit.onTick(nowMillis);
-        return fill(nowMillis);
+    public synchronized QueueChanges expire(long nowMillis) {
+        mConcurrencyLimit.onTick(nowMillis);
+        return startQueued(nowMillis);
     }
 
     /** Takes out a waiting ticket whose caller has gone; false if it doesn't wait. */
     public synchronized boolean cancel(Ticket ticket) {
-        return mWaiting.remove(ticket);
+        return mQueue.remove(ticket);
     }
 
     /** Returns how many tickets wait. */
     public synchronized int queued() {
-        return mWaiting.size();
+        return mQueue.size();
     }
 
     /** Returns how many tickets have a slot. */
@@ -185,84 +188,87 @@
     }
 
     /** Returns how many slots are used at most, at present. */
-    public synchronized int limit() {
-        return mLimit.get();
+    public synchronized int concurrencyLimit() {
+        return mConcurrencyLimit.get();
     }
 
     /** Returns how many members are told apart at present. */
-    public synchronized int members() {
-        return mWaiting.flows();
+    public synchronized int memberCount() {
+        return mQueue.flowCount();
     }
 
-    private Changes fill(long nowMillis) {
+    private QueueChanges startQueued(long nowMillis) {
         List<Ticket> admitted = new ArrayList<>();
-        List<Refusal> refused = new ArrayList<>();
-        dropLate(nowMillis, refused);
-        while (mWaiting.size() > 0 && mRunning.size() < mLimit.get() && mPace.tryStart(nowMillis)) {
-            FairQueue.Charge next = mWaiting.poll();
-            run(next, nowMillis);
+        List<Rejection> refused = new ArrayList<>();
+        rejectLate(nowMillis, refused);
+        while (mQueue.size() > 0
+                && mRunning.size() < mConcurrencyLimit.get()
+                && mStartRateLimiter.tryStart(nowMillis)) {
+            FairQueue.Charge next = mQueue.poll();
+            addRunning(next, nowMillis);
             admitted.add(next.ticket());
         }
-        return new Changes(admitted, refused);
+        return new QueueChanges(admitted, refused);
     }
 
     // A slot spent on a request whose caller stops waiting before the answer is a slot lost; under
     // overload, served in the order of arrival, that becomes every slot.
-    private void dropLate(long nowMillis, List<Refusal> refused) {
-        for (Ticket ticket : mWaiting.tickets()) {
-            if (nowMillis + allowanceMillis(ticket) > ticket.deadlineMillis()) {
-                mWaiting.remove(ticket);
-                refused.add(refusal(ticket, RefusalReason.DEADLINE_PASSED, nowMillis));
-            } else if (mWaiting.isUseful(ticket) && !isUseful(ticket, nowMillis)) {
-                loseUse(ticket, refused, nowMillis);
+    private void rejectLate(long nowMillis, List<Rejection> refused) {
+        for (Ticket ticket : mQueue.tickets()) {
+            if (nowMillis + upperServiceMillis(ticket) > ticket.deadlineMillis()) {
+                mQueue.remove(ticket);
+                refused.add(rejection(ticket, RejectionReason.DEADLINE_PASSED, nowMillis));
+            } else if (mQueue.isOnTime(ticket) && !meetsSoftDeadline(ticket, nowMillis)) {
+                onSoftDeadlineMissed(ticket, refused, nowMillis);
             }
         }
     }
 
-    private void loseUse(Ticket ticket, List<Refusal> refused, long nowMillis) {
-        mWaiting.remove(ticket);
-        if (ticket.patience() == Patience.WHILE_USEFUL || !mayWaitLate(ticket)) {
-            refused.add(refusal(ticket, RefusalReason.BUSY, nowMillis));
+    private void onSoftDeadlineMissed(Ticket ticket, List<Rejection> refused, long nowMillis) {
+        mQueue.remove(ticket);
+        if (ticket.queueingPolicy() == QueueingPolicy.WHILE_USEFUL
+                || !mayWaitPastSoftDeadline(ticket)) {
+            refused.add(rejection(ticket, RejectionReason.BUSY, nowMillis));
         } else {
-            mWaiting.add(ticket, false);
+            mQueue.add(ticket, false);
         }
     }
 
     // Behind a queue that newer work overtakes, what is late already would be held to its deadline
     // and refused then: on the heaviest day measured, requests of an eighth of the day's worth were
     // held so. It waits one round of the slots at the most.
-    private boolean mayWaitLate(Ticket ticket) {
-        return ticket.unblocks() || mWaiting.size() < mConfig.slots();
+    private boolean mayWaitPastSoftDeadline(Ticket ticket) {
+        return ticket.nestedCall() || mQueue.size() < mConfig.slots();
     }
 
-    private boolean isUseful(Ticket ticket, double startMillis) {
-        return startMillis + allowanceMillis(ticket) <= ticket.usefulUntilMillis();
+    private boolean meetsSoftDeadline(Ticket ticket, double startMillis) {
+        return startMillis + upperServiceMillis(ticket) <= ticket.softDeadlineMillis();
     }
 
-    private void run(FairQueue.Charge charge, long nowMillis) {
+    private void addRunning(FairQueue.Charge charge, long nowMillis) {
         mRunning.put(charge.ticket().id(), new Running(charge, nowMillis));
     }
 
-    private Offer refused(Ticket ticket, RefusalReason reason, long nowMillis) {
-        return new Offer.Refused(refusal(ticket, reason, nowMillis));
+    private AdmissionDecision reject(Ticket ticket, RejectionReason reason, long nowMillis) {
+        return new AdmissionDecision.Rejected(rejection(ticket, reason, nowMillis));
     }
 
-    private Refusal refusal(Ticket ticket, RefusalReason reason, long nowMillis) {
+    private Rejection rejection(Ticket ticket, RejectionReason reason, long nowMillis) {
         double waitMillis = waitMillis(ticket, false, nowMillis);
-        return new Refusal(ticket, reason, (long) Math.ceil(Math.max(1, waitMillis)));
+        return new Rejection(ticket, reason, (long) Math.ceil(Math.max(1, waitMillis)));
     }
 
     private double waitMillis(Ticket ticket, boolean useful, long nowMillis) {
-        double starts = mWaiting.servicesAhead(ticket, useful);
-        double slotMillis = starts * serviceMillis() / Math.max(1, mLimit.get());
-        return Math.max(slotMillis, mPace.waitMillis(starts, nowMillis));
+        double starts = mQueue.servicesAhead(ticket, useful);
+        double slotMillis = starts * meanServiceMillis() / Math.max(1, mConcurrencyLimit.get());
+        return Math.max(slotMillis, mStartRateLimiter.waitMillis(starts, nowMillis));
     }
 
-    private double serviceMillis() {
+    private double meanServiceMillis() {
         return mServiceTimes.meanMicros() / MICROS_PER_MILLI;
     }
 
-    private double allowanceMillis(Ticket ticket) {
-        return mServiceTimes.allowanceMicros(ticket.work()) / MICROS_PER_MILLI;
+    private double upperServiceMillis(Ticket ticket) {
+        return mServiceTimes.upperEstimateMicros(ticket.workKind()) / MICROS_PER_MILLI;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/admission/FairQueue.java
+++ b/src/main/java/org/apricotgauge/decision/admission/FairQueue.java
@@ -24,60 +24,61 @@
      *
      * @param ticket the ticket
      * @param flow whose account it is
-     * @param micros the estimate that was charged
+     * @param chargedMicros the estimate that was charged
      */
-    record Charge(Ticket ticket, Flow flow, double micros) {}
+    record Charge(Ticket ticket, Flow flow, double chargedMicros) {}
 
-    private record Waiting(Ticket ticket, Flow.Place place, Flow flow) {}
+    private record QueuedTicket(Ticket ticket, Flow.SortKey sortKey, Flow flow) {}
 
     /** Services that a member's most urgent class is ahead of its account, by class. */
     private static final double[] LEAD_SERVICES = {16, 8, 2, 0, 0};
 
     private static final int SHARED_FLOWS = 16;
-    private static final Comparator<Flow> BY_SERVED =
-            Comparator.comparingDouble(Flow::servedMicros).thenComparingLong(Flow::sequence);
+    private static final Comparator<Flow> BY_VIRTUAL_TIME =
+            Comparator.comparingDouble(Flow::virtualTimeMicros).thenComparingLong(Flow::sequence);
     private static final Comparator<Flow> BY_BACKLOG =
-            Comparator.comparingDouble(Flow::backlog).thenComparingLong(Flow::sequence);
+            Comparator.comparingDouble(Flow::backlogPerWeight).thenComparingLong(Flow::sequence);
     private static final Comparator<Ticket> BY_DEADLINE =
             Comparator.comparingLong(Ticket::deadlineMillis).thenComparingLong(Ticket::id);
 
     private final int mMaxMembers;
     private final Map<String, Flow> mFlows = new HashMap<>();
-    private final List<TreeSet<Flow.Place>> mPlaces = Flow.eachClass(TreeSet::new);
-    private final Map<Long, Waiting> mTickets = new HashMap<>();
-    private final Map<Long, Waiting> mBySequence = new HashMap<>();
-    private final Map<Flow, Double> mKeys = new HashMap<>();
-    private final TreeSet<Flow> mOrder =
+    private final List<TreeSet<Flow.SortKey>> mSortKeysByClass = Flow.listPerClass(TreeSet::new);
+    private final Map<Long, QueuedTicket> mQueuedById = new HashMap<>();
+    private final Map<Long, QueuedTicket> mQueuedBySequence = new HashMap<>();
+    private final Map<Flow, Double> mFlowOrderMicros = new HashMap<>();
+    private final TreeSet<Flow> mFlowOrder =
             new TreeSet<>(
-                    Comparator.<Flow>comparingDouble(mKeys::get).thenComparingLong(Flow::sequence));
-    private final TreeSet<Flow> mByBacklog = new TreeSet<>(BY_BACKLOG);
-    private final TreeSet<Flow> mIdle = new TreeSet<>(BY_SERVED);
-    private final List<TreeSet<Ticket>> mByDeadline =
-            Flow.eachClass(() -> new TreeSet<>(BY_DEADLINE));
-    private double mVirtualMicros;
-    private double mMeanMicros;
+                    Comparator.<Flow>comparingDouble(mFlowOrderMicros::get)
+                            .thenComparingLong(Flow::sequence));
+    private final TreeSet<Flow> mFlowsByBacklog = new TreeSet<>(BY_BACKLOG);
+    private final TreeSet<Flow> mIdleFlows = new TreeSet<>(BY_VIRTUAL_TIME);
+    private final List<TreeSet<Ticket>> mTicketsByDeadline =
+            Flow.listPerClass(() -> new TreeSet<>(BY_DEADLINE));
+    private double mVirtualTimeMicros;
+    private double mMeanServiceMicros;
     private long mActiveWeight;
     private long mNextSequence;
 
     FairQueue(int maxMembers, double meanMicros) {
         mMaxMembers = maxMembers;
-        mMeanMicros = meanMicros;
+        mMeanServiceMicros = meanMicros;
     }
 
-    void setMeanMicros(double meanMicros) {
-        mMeanMicros = meanMicros;
+    void setMeanServiceMicros(double meanMicros) {
+        mMeanServiceMicros = meanMicros;
     }
 
     int size() {
-        return mTickets.size();
+        return mQueuedById.size();
     }
 
-    int flows() {
+    int flowCount() {
         return mFlows.size();
     }
 
     boolean contains(Ticket ticket) {
-        return mTickets.containsKey(ticket.id());
+        return mQueuedById.containsKey(ticket.id());
     }
 
     /**
@@ -89,77 +90,77 @@
     void add(Ticket ticket, boolean useful) {
         Flow flow = flowOf(ticket);
         long sequence = mNextSequence++;
-        Waiting waiting = new Waiting(ticket, placeOf(ticket, useful, sequence), flow);
-        mPlaces.get(ticket.priority().ordinal()).add(waiting.place());
-        leaveOrder(flow);
+        QueuedTicket waiting = new QueuedTicket(ticket, sortKeyOf(ticket, useful, sequence), flow);
+        mSortKeysByClass.get(ticket.priority().ordinal()).add(waiting.sortKey());
+        removeFromOrder(flow);
         if (flow.queued() == 0) {
-            flow.raiseServed(mVirtualMicros);
+            flow.raiseVirtualTime(mVirtualTimeMicros);
         }
-        flow.add(waiting.place(), ticket);
-        enterOrder(flow);
-        mTickets.put(ticket.id(), waiting);
-        mBySequence.put(sequence, waiting);
-        mByDeadline.get(ticket.priority().ordinal()).add(ticket);
+        flow.add(waiting.sortKey(), ticket);
+        addToOrder(flow);
+        mQueuedById.put(ticket.id(), waiting);
+        mQueuedBySequence.put(sequence, waiting);
+        mTicketsByDeadline.get(ticket.priority().ordinal()).add(ticket);
     }
 
-    private static Flow.Place placeOf(Ticket ticket, boolean useful, long sequence) {
-        long dueMillis = useful ? ticket.usefulUntilMillis() : ticket.deadlineMillis();
-        return new Flow.Place(ticket.unblocks(), useful, dueMillis, sequence);
+    private static Flow.SortKey sortKeyOf(Ticket ticket, boolean useful, long sequence) {
+        long dueMillis = useful ? ticket.softDeadlineMillis() : ticket.deadlineMillis();
+        return new Flow.SortKey(ticket.nestedCall(), useful, dueMillis, sequence);
     }
 
     boolean remove(Ticket ticket) {
-        Waiting waiting = mTickets.get(ticket.id());
+        QueuedTicket waiting = mQueuedById.get(ticket.id());
         if (waiting == null) {
             return false;
         }
-        take(waiting);
+        removeQueued(waiting);
         return true;
     }
 
     /** Returns whether a waiting ticket has the place of one that can be of full use. */
-    boolean isUseful(Ticket ticket) {
-        return mTickets.get(ticket.id()).place().useful();
+    boolean isOnTime(Ticket ticket) {
+        return mQueuedById.get(ticket.id()).sortKey().onTime();
     }
 
     /** Takes out the ticket to serve next and charges its member; null if none waits. */
     Charge poll() {
-        if (mOrder.isEmpty()) {
+        if (mFlowOrder.isEmpty()) {
             return null;
         }
-        Flow flow = mOrder.first();
-        mVirtualMicros = Math.max(mVirtualMicros, mKeys.get(flow));
-        Waiting waiting = mBySequence.get(flow.pickSequence());
-        take(waiting);
+        Flow flow = mFlowOrder.first();
+        mVirtualTimeMicros = Math.max(mVirtualTimeMicros, mFlowOrderMicros.get(flow));
+        QueuedTicket waiting = mQueuedBySequence.get(flow.pickSequence());
+        removeQueued(waiting);
         Charge charge = charge(flow, waiting.ticket());
-        forgetIdle();
+        evictIdleFlows();
         return charge;
     }
 
     /** Charges the member of a ticket that needn't wait. */
-    Charge startNow(Ticket ticket) {
+    Charge startWithoutQueueing(Ticket ticket) {
         Flow flow = flowOf(ticket);
-        leaveOrder(flow);
-        flow.raiseServed(mVirtualMicros);
-        enterOrder(flow);
+        removeFromOrder(flow);
+        flow.raiseVirtualTime(mVirtualTimeMicros);
+        addToOrder(flow);
         // Without this, service given while nobody waited would count against its member later.
-        mVirtualMicros = flow.servedMicros();
+        mVirtualTimeMicros = flow.virtualTimeMicros();
         return charge(flow, ticket);
     }
 
     /** Corrects the charge once the true service time is known. */
-    void settle(Charge charge, double servedMicros) {
+    void correctCharge(Charge charge, double servedMicros) {
         Flow flow = charge.flow();
-        leaveOrder(flow);
+        removeFromOrder(flow);
         flow.onReleased();
-        flow.charge(servedMicros - charge.micros());
-        enterOrder(flow);
-        forgetIdle();
+        flow.charge(servedMicros - charge.chargedMicros());
+        addToOrder(flow);
+        evictIdleFlows();
     }
 
     /** Returns the waiting tickets, the more urgent classes first, in the order of deadlines. */
     List<Ticket> tickets() {
-        List<Ticket> tickets = new ArrayList<>(mTickets.size());
-        mByDeadline.forEach(tickets::addAll);
+        List<Ticket> tickets = new ArrayList<>(mQueuedById.size());
+        mTicketsByDeadline.forEach(tickets::addAll);
         return tickets;
     }
 
@@ -169,15 +170,15 @@
      */
     Ticket victimFor(Ticket newcomer) {
         Flow own = mFlows.get(flowName(newcomer));
-        double ownBacklog = own == null ? 0 : own.backlog();
+        double ownBacklog = own == null ? 0 : own.backlogPerWeight();
         double ownNext = ownBacklog + 1.0 / newcomer.member().weight();
-        Flow longest = mByBacklog.last();
-        Ticket last = mBySequence.get(longest.lastSequence()).ticket();
+        Flow longest = mFlowsByBacklog.last();
+        Ticket last = mQueuedBySequence.get(longest.lastSequence()).ticket();
         boolean lessUrgent = last.priority().compareTo(newcomer.priority()) > 0;
-        if (longest != own && longest.backlog() > ownNext) {
+        if (longest != own && longest.backlogPerWeight() > ownNext) {
             return last;
         }
-        if (lessUrgent && longest.backlog() >= ownBacklog) {
+        if (lessUrgent && longest.backlogPerWeight() >= ownBacklog) {
             return last;
         }
         return ownVictim(own, newcomer);
@@ -187,7 +188,7 @@
         if (own == null || own.queued() == 0) {
             return null;
         }
-        Ticket last = mBySequence.get(own.lastSequence()).ticket();
+        Ticket last = mQueuedBySequence.get(own.lastSequence()).ticket();
         return last.priority().compareTo(newcomer.priority()) > 0 ? last : null;
     }
 
@@ -204,8 +205,8 @@
         double allWeight = active ? mActiveWeight : mActiveWeight + weight;
         double byShare = (ownAhead + 1) * allWeight / weight;
         // A member that has used up its lead waits for its share, however urgent its work.
-        double lead = LEAD_SERVICES[newcomer.priority().ordinal()] * mMeanMicros;
-        if (active && own.servedMicros() - mVirtualMicros > lead) {
+        double lead = LEAD_SERVICES[newcomer.priority().ordinal()] * mMeanServiceMicros;
+        if (active && own.virtualTimeMicros() - mVirtualTimeMicros > lead) {
             return byShare;
         }
         return Math.min(byShare, queuedBefore(newcomer, useful) + 1.0);
@@ -213,41 +214,42 @@
 
     private int queuedBefore(Ticket newcomer, boolean useful) {
         int own = newcomer.priority().ordinal();
-        Flow.Place place = placeOf(newcomer, useful, mNextSequence);
-        int count = mPlaces.get(own).headSet(place).size();
+        Flow.SortKey place = sortKeyOf(newcomer, useful, mNextSequence);
+        int count = mSortKeysByClass.get(own).headSet(place).size();
         for (int i = 0; i < own; i++) {
-            count += mPlaces.get(i).size();
+            count += mSortKeysByClass.get(i).size();
         }
         return count;
     }
 
-    private void take(Waiting waiting) {
+    private void removeQueued(QueuedTicket waiting) {
         Flow flow = waiting.flow();
-        leaveOrder(flow);
-        flow.remove(waiting.place(), waiting.ticket());
-        mPlaces.get(waiting.ticket().priority().ordinal()).remove(waiting.place());
-        enterOrder(flow);
-        mTickets.remove(waiting.ticket().id());
-        mBySequence.remove(waiting.place().sequence());
-        mByDeadline.get(waiting.ticket().priority().ordinal()).remove(waiting.ticket());
+        removeFromOrder(flow);
+        flow.remove(waiting.sortKey(), waiting.ticket());
+        mSortKeysByClass.get(waiting.ticket().priority().ordinal()).remove(waiting.sortKey());
+        addToOrder(flow);
+        mQueuedById.remove(waiting.ticket().id());
+        mQueuedBySequence.remove(waiting.sortKey().sequence());
+        mTicketsByDeadline.get(waiting.ticket().priority().ordinal()).remove(waiting.ticket());
     }
 
     private Charge charge(Flow flow, Ticket ticket) {
-        leaveOrder(flow);
+        removeFromOrder(flow);
         flow.onDispatched();
-        flow.charge(mMeanMicros);
-        enterOrder(flow);
-        return new Charge(ticket, flow, mMeanMicros);
+        flow.charge(mMeanServiceMicros);
+        addToOrder(flow);
+        return new Charge(ticket, flow, mMeanServiceMicros);
     }
 
     private Flow flowOf(Ticket ticket) {
         Flow flow =
                 mFlows.computeIfAbsent(
-                        flowName(ticket), name -> new Flow(name, mNextSequence++, mVirtualMicros));
+                        flowName(ticket),
+                        name -> new Flow(name, mNextSequence++, mVirtualTimeMicros));
         if (flow.weight() != ticket.member().weight()) {
-            leaveOrder(flow);
+            removeFromOrder(flow);
             flow.setWeight(ticket.member().weight());
-            enterOrder(flow);
+            addToOrder(flow);
         }
         return flow;
     }
@@ -262,35 +264,36 @@
         return "#" + Math.floorMod(id.hashCode(), SHARED_FLOWS);
     }
 
-    private void leaveOrder(Flow flow) {
-        mIdle.remove(flow);
+    private void removeFromOrder(Flow flow) {
+        mIdleFlows.remove(flow);
         if (flow.queued() == 0) {
             return;
         }
-        mOrder.remove(flow);
-        mKeys.remove(flow);
-        mByBacklog.remove(flow);
+        mFlowOrder.remove(flow);
+        mFlowOrderMicros.remove(flow);
+        mFlowsByBacklog.remove(flow);
         mActiveWeight -= flow.weight();
     }
 
-    private void enterOrder(Flow flow) {
+    private void addToOrder(Flow flow) {
         if (flow.isIdle()) {
-            mIdle.add(flow);
+            mIdleFlows.add(flow);
         }
         if (flow.queued() == 0) {
             return;
         }
-        double lead = LEAD_SERVICES[flow.mostUrgent().ordinal()] * mMeanMicros;
-        mKeys.put(flow, flow.servedMicros() - lead);
-        mOrder.add(flow);
-        mByBacklog.add(flow);
+        double lead = LEAD_SERVICES[flow.mostUrgent().ordinal()] * mMeanServiceMicros;
+        mFlowOrderMicros.put(flow, flow.virtualTimeMicros() - lead);
+        mFlowOrder.add(flow);
+        mFlowsByBacklog.add(flow);
         mActiveWeight += flow.weight();
     }
 
     // An idle member whose virtual time has been overtaken is like one never seen.
-    private void forgetIdle() {
-        while (!mIdle.isEmpty() && mIdle.first().servedMicros() <= mVirtualMicros) {
-            mFlows.remove(mIdle.pollFirst().name());
+    private void evictIdleFlows() {
+        while (!mIdleFlows.isEmpty()
+                && mIdleFlows.first().virtualTimeMicros() <= mVirtualTimeMicros) {
+            mFlows.remove(mIdleFlows.pollFirst().name());
         }
     }
 }
--- a/src/main/java/org/apricotgauge/decision/admission/Flow.java
+++ b/src/main/java/org/apricotgauge/decision/admission/Flow.java
@@ -18,35 +18,35 @@
 
     // A lower class that was passed over so often is served next, lest a member's urgent work
     // starve its own patient work for ever.
-    private static final int MAX_PASSED = 8;
+    private static final int MAX_TIMES_PASSED_OVER = 8;
 
     private final String mName;
     private final long mSequence;
-    private final List<TreeSet<Place>> mWaiting = eachClass(TreeSet::new);
-    private final int[] mPassed = new int[CLASSES.size()];
+    private final List<TreeSet<SortKey>> mWaitingByClass = listPerClass(TreeSet::new);
+    private final int[] mTimesPassedOver = new int[CLASSES.size()];
     private int mWeight;
     private int mQueued;
     private int mInFlight;
-    private double mServedMicros;
+    private double mVirtualTimeMicros;
 
     /**
      * A ticket's place in its class.
      *
-     * @param unblocks whether a request that holds a slot somewhere waits for it
-     * @param useful whether it can end in time to be of full use
+     * @param nestedCall whether a request that holds a slot somewhere waits for it
+     * @param onTime whether it can end in time to be of full use
      * @param dueMillis until when it can be of full use, or of any
      * @param sequence when it came
      */
-    record Place(boolean unblocks, boolean useful, long dueMillis, long sequence)
-            implements Comparable<Place> {
-        private static final Comparator<Place> ORDER =
-                Comparator.comparing(Place::unblocks, Comparator.reverseOrder())
-                        .thenComparing(Place::useful, Comparator.reverseOrder())
-                        .thenComparingLong(Place::dueMillis)
-                        .thenComparingLong(Place::sequence);
+    record SortKey(boolean nestedCall, boolean onTime, long dueMillis, long sequence)
+            implements Comparable<SortKey> {
+        private static final Comparator<SortKey> ORDER =
+                Comparator.comparing(SortKey::nestedCall, Comparator.reverseOrder())
+                        .thenComparing(SortKey::onTime, Comparator.reverseOrder())
+                        .thenComparingLong(SortKey::dueMillis)
+                        .thenComparingLong(SortKey::sequence);
 
         @Override
-        public int compareTo(Place other) {
+        public int compareTo(SortKey other) {
             return ORDER.compare(this, other);
         }
     }
@@ -54,11 +54,11 @@
     Flow(String name, long sequence, double servedMicros) {
         mName = name;
         mSequence = sequence;
-        mServedMicros = servedMicros;
+        mVirtualTimeMicros = servedMicros;
     }
 
     /** Returns a list that holds something of its own for each class. */
-    static <T> List<T> eachClass(Supplier<T> maker) {
+    static <T> List<T> listPerClass(Supplier<T> maker) {
         return CLASSES.stream().map(priority -> maker.get()).toList();
     }
 
@@ -85,7 +85,7 @@
     int queued(Priority lowest) {
         int count = 0;
         for (int i = 0; i <= lowest.ordinal(); i++) {
-            count += mWaiting.get(i).size();
+            count += mWaitingByClass.get(i).size();
         }
         return count;
     }
@@ -95,29 +95,29 @@
     }
 
     /** Returns the service received, divided by the weight: the flow's virtual time. */
-    double servedMicros() {
-        return mServedMicros;
+    double virtualTimeMicros() {
+        return mVirtualTimeMicros;
     }
 
-    void raiseServed(double virtualMicros) {
-        mServedMicros = Math.max(mServedMicros, virtualMicros);
+    void raiseVirtualTime(double virtualMicros) {
+        mVirtualTimeMicros = Math.max(mVirtualTimeMicros, virtualMicros);
     }
 
     void charge(double micros) {
-        mServedMicros += micros / mWeight;
+        mVirtualTimeMicros += micros / mWeight;
     }
 
-    double backlog() {
+    double backlogPerWeight() {
         return (double) mQueued / mWeight;
     }
 
-    void add(Place place, Ticket ticket) {
-        mWaiting.get(ticket.priority().ordinal()).add(place);
+    void add(SortKey place, Ticket ticket) {
+        mWaitingByClass.get(ticket.priority().ordinal()).add(place);
         mQueued++;
     }
 
-    boolean remove(Place place, Ticket ticket) {
-        boolean removed = mWaiting.get(ticket.priority().ordinal()).remove(place);
+    boolean remove(SortKey place, Ticket ticket) {
+        boolean removed = mWaitingByClass.get(ticket.priority().ordinal()).remove(place);
         if (removed) {
             mQueued--;
         }
@@ -135,7 +135,7 @@
     /** Returns the most urgent class that waits; the flow must not be empty. */
     Priority mostUrgent() {
         for (Priority priority : CLASSES) {
-            if (!mWaiting.get(priority.ordinal()).isEmpty()) {
+            if (!mWaitingByClass.get(priority.ordinal()).isEmpty()) {
                 return priority;
             }
         }
@@ -145,8 +145,8 @@
     /** Returns the sequence of the last ticket of the least urgent class that waits. */
     long lastSequence() {
         for (int i = CLASSES.size() - 1; i >= 0; i--) {
-            if (!mWaiting.get(i).isEmpty()) {
-                return mWaiting.get(i).last().sequence();
+            if (!mWaitingByClass.get(i).isEmpty()) {
+                return mWaitingByClass.get(i).last().sequence();
             }
         }
         throw new IllegalStateException("flow is empty: " + mName);
@@ -156,15 +156,15 @@
     long pickSequence() {
         int chosen = mostUrgent().ordinal();
         for (int i = CLASSES.size() - 1; i > chosen; i--) {
-            if (mPassed[i] >= MAX_PASSED && !mWaiting.get(i).isEmpty()) {
+            if (mTimesPassedOver[i] >= MAX_TIMES_PASSED_OVER && !mWaitingByClass.get(i).isEmpty()) {
                 chosen = i;
                 break;
             }
         }
         for (int i = chosen + 1; i < CLASSES.size(); i++) {
-            mPassed[i] = mWaiting.get(i).isEmpty() ? 0 : mPassed[i] + 1;
+            mTimesPassedOver[i] = mWaitingByClass.get(i).isEmpty() ? 0 : mTimesPassedOver[i] + 1;
         }
-        mPassed[chosen] = 0;
-        return mWaiting.get(chosen).first().sequence();
+        mTimesPassedOver[chosen] = 0;
+        return mWaitingByClass.get(chosen).first().sequence();
     }
 }
--- a/src/main/java/org/apricotgauge/decision/admission/Changes.java
+++ b/src/main/java/org/apricotgauge/decision/admission/QueueChanges.java
@@ -6,15 +6,15 @@
  * Tickets that left the queue in one step.
  *
  * @param admitted have a slot now; start them
- * @param refused will get none; answer them at once
+ * @param rejected will get none; answer them at once
  */
-public record Changes(List<Ticket> admitted, List<Refusal> refused) {
+public record QueueChanges(List<Ticket> admitted, List<Rejection> rejected) {
     /** No ticket left the queue. */
-    public static final Changes NONE = new Changes(List.of(), List.of());
+    public static final QueueChanges NONE = new QueueChanges(List.of(), List.of());
 
     /** Copies the lists. */
-    public Changes {
+    public QueueChanges {
         admitted = List.copyOf(admitted);
-        refused = List.copyOf(refused);
+        rejected = List.copyOf(rejected);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/admission/Patience.java
+++ b/src/main/java/org/apricotgauge/decision/admission/QueueingPolicy.java
@@ -9,7 +9,7 @@
  * waiting at a target of three slots that are two thirds busy takes 0.44 of a service time on
  * average (M/M/3).
  */
-public enum Patience {
+public enum QueueingPolicy {
     /** It is refused at once where no slot is free. */
     NO_WAIT,
     /** It waits as long as it can still be of full use; after that it tries elsewhere. */
--- a/src/main/java/org/apricotgauge/decision/admission/Refusal.java
+++ b/src/main/java/org/apricotgauge/decision/admission/Rejection.java
@@ -9,10 +9,10 @@
  * @param reason why
  * @param retryAfterMillis when a new request of the member is likely to be served
  */
-public record Refusal(Ticket ticket, RefusalReason reason, long retryAfterMillis) {
+public record Rejection(Ticket ticket, RejectionReason reason, long retryAfterMillis) {
 
     /** Checks the parts. */
-    public Refusal {
+    public Rejection {
         Checks.notNull("ticket", ticket);
         Checks.notNull("reason", reason);
         Checks.inRange("retryAfterMillis", retryAfterMillis, 0, Long.MAX_VALUE);
--- a/src/main/java/org/apricotgauge/decision/admission/RefusalReason.java
+++ b/src/main/java/org/apricotgauge/decision/admission/RejectionReason.java
@@ -1,7 +1,7 @@
 package org.apricotgauge.decision.admission;
 
 /** Why a request gets no slot. */
-public enum RefusalReason {
+public enum RejectionReason {
     /** It could not have been served before its deadline. */
     DEADLINE_TOO_SHORT,
     /** No slot was free, and it must not wait. */
--- a/src/main/java/org/apricotgauge/decision/admission/Result.java
+++ b/src/main/java/org/apricotgauge/decision/admission/RunResult.java
@@ -1,7 +1,7 @@
 package org.apricotgauge.decision.admission;
 
 /** How an admitted request ended at the target. */
-public enum Result {
+public enum RunResult {
     /** The target answered it. */
     ANSWERED,
     /** The target refused it for want of a slot (503): others use its slots too. */
--- a/src/main/java/org/apricotgauge/decision/admission/ServiceEstimate.java
+++ b/src/main/java/org/apricotgauge/decision/admission/ServiceTimeEstimator.java
@@ -1,7 +1,7 @@
 package org.apricotgauge.decision.admission;
 
 /** Moving mean and mean deviation of service times, kept as TCP keeps its round trips. */
-final class ServiceEstimate {
+final class ServiceTimeEstimator {
     // Gains and multiple of RFC 6298: one late sample moves the estimate little, and about one
     // service in twenty takes longer than the allowance.
     private static final double MEAN_GAIN = 0.05;
@@ -10,18 +10,18 @@
 
     private double mMeanMicros;
     private double mDeviationMicros;
-    private boolean mMeasured;
+    private boolean mHasSample;
 
-    ServiceEstimate(long initialMicros) {
+    ServiceTimeEstimator(long initialMicros) {
         mMeanMicros = initialMicros;
     }
 
     void add(long micros) {
-        if (!mMeasured) {
+        if (!mHasSample) {
             // The first sample replaces the assumption, which may be off by orders of magnitude.
             mMeanMicros = micros;
             mDeviationMicros = micros / 2.0;
-            mMeasured = true;
+            mHasSample = true;
             return;
         }
         double error = micros - mMeanMicros;
@@ -34,7 +34,7 @@
     }
 
     /** Returns a time within which most services end. */
-    double allowanceMicros() {
+    double upperEstimateMicros() {
         return mMeanMicros + DEVIATIONS * mDeviationMicros;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/admission/ServiceTimes.java
+++ b/src/main/java/org/apricotgauge/decision/admission/ServiceTimes.java
@@ -13,11 +13,11 @@
  * booking.
  */
 final class ServiceTimes {
-    private static final double USUAL_GAIN = 0.05;
+    private static final double BASELINE_GAIN = 0.05;
 
     // Service times scatter widely: a moving mean of twenty wanders to twice its own lowest value
     // without any cause. The mean of fifty, against the mean of many such means, hardly does.
-    private static final int BATCH = 50;
+    private static final int BATCH_SIZE = 50;
 
     /** Kinds told apart; a service has a handful of routes, and what is beyond shares one. */
     private static final int MAX_KINDS = 256;
@@ -25,32 +25,32 @@
     private static final String OTHER_KINDS = "";
 
     private final long mInitialMicros;
-    private final ServiceEstimate mAll;
-    private final Map<String, ServiceEstimate> mByKind = new HashMap<>();
+    private final ServiceTimeEstimator mAll;
+    private final Map<String, ServiceTimeEstimator> mByKind = new HashMap<>();
     private double mBatchSumMicros;
     private int mBatchCount;
     private double mBatchMeanMicros;
-    private double mUsualMicros;
+    private double mBaselineMicros;
 
     ServiceTimes(long initialMicros) {
         mInitialMicros = initialMicros;
-        mAll = new ServiceEstimate(initialMicros);
+        mAll = new ServiceTimeEstimator(initialMicros);
     }
 
     /** Takes in a service time; returns whether it completes a batch. */
     boolean add(String kind, long micros) {
         mAll.add(micros);
-        estimateOf(kind).add(micros);
+        estimatorOf(kind).add(micros);
         mBatchSumMicros += micros;
         mBatchCount++;
-        if (mBatchCount < BATCH) {
+        if (mBatchCount < BATCH_SIZE) {
             return false;
         }
-        mBatchMeanMicros = mBatchSumMicros / BATCH;
-        mUsualMicros =
-                mUsualMicros == 0
+        mBatchMeanMicros = mBatchSumMicros / BATCH_SIZE;
+        mBaselineMicros =
+                mBaselineMicros == 0
                         ? mBatchMeanMicros
-                        : mUsualMicros + USUAL_GAIN * (mBatchMeanMicros - mUsualMicros);
+                        : mBaselineMicros + BASELINE_GAIN * (mBatchMeanMicros - mBaselineMicros);
         mBatchSumMicros = 0;
         mBatchCount = 0;
         return true;
@@ -61,18 +61,18 @@
     }
 
     /** Returns a time within which most services of the kind end; the initial one if none did. */
-    double allowanceMicros(String kind) {
-        return estimateOf(kind).allowanceMicros();
+    double upperEstimateMicros(String kind) {
+        return estimatorOf(kind).upperEstimateMicros();
     }
 
-    private ServiceEstimate estimateOf(String kind) {
+    private ServiceTimeEstimator estimatorOf(String kind) {
         boolean known = mByKind.containsKey(kind) || mByKind.size() < MAX_KINDS;
         return mByKind.computeIfAbsent(
-                known ? kind : OTHER_KINDS, name -> new ServiceEstimate(mInitialMicros));
+                known ? kind : OTHER_KINDS, name -> new ServiceTimeEstimator(mInitialMicros));
     }
 
     /** Returns the mean of the last whole batch as a multiple of the usual. */
     double inflation() {
-        return mUsualMicros == 0 ? 1 : mBatchMeanMicros / mUsualMicros;
+        return mBaselineMicros == 0 ? 1 : mBatchMeanMicros / mBaselineMicros;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/admission/Pace.java
+++ b/src/main/java/org/apricotgauge/decision/admission/StartRateLimiter.java
@@ -15,41 +15,41 @@
  * <p>A token bucket that starts empty and holds an eighth of a second's worth, so that a target in
  * need gets no burst. Not thread-safe. Times are readings of one monotonic clock in milliseconds.
  */
-public final class Pace {
+public final class StartRateLimiter {
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private static final double BURST_SECONDS = 0.125;
 
     private boolean mIsLimited;
-    private double mPerMilli;
-    private double mMostTokens;
+    private double mTokensPerMilli;
+    private double mMaxTokens;
     private double mTokens;
-    private long mFilledMillis;
+    private long mRefilledAtMillis;
 
     /** Creates a pace without a limit. */
-    public Pace() {}
+    public StartRateLimiter() {}
 
     /**
      * Keeps to a limit from now on.
      *
      * @param perSecond starts in a second, more than 0
      */
-    public void limit(double perSecond, long nowMillis) {
+    public void setLimit(double perSecond, long nowMillis) {
         Checks.inRange("perSecond", perSecond, Double.MIN_NORMAL, Double.MAX_VALUE);
         if (mIsLimited) {
-            fill(nowMillis);
+            refill(nowMillis);
         } else {
             mTokens = 0;
-            mFilledMillis = nowMillis;
+            mRefilledAtMillis = nowMillis;
         }
         mIsLimited = true;
-        mPerMilli = perSecond / MILLIS_PER_SECOND;
-        mMostTokens = Math.max(1, perSecond * BURST_SECONDS);
-        mTokens = Math.min(mTokens, mMostTokens);
+        mTokensPerMilli = perSecond / MILLIS_PER_SECOND;
+        mMaxTokens = Math.max(1, perSecond * BURST_SECONDS);
+        mTokens = Math.min(mTokens, mMaxTokens);
     }
 
     /** Keeps to no limit any more. */
-    public void lift() {
+    public void removeLimit() {
         mIsLimited = false;
     }
 
@@ -58,7 +58,7 @@
         if (!mIsLimited) {
             return true;
         }
-        fill(nowMillis);
+        refill(nowMillis);
         return mTokens >= 1;
     }
 
@@ -72,8 +72,8 @@
     }
 
     /** Takes back a start of which the target heard nothing. */
-    public void giveBack() {
-        mTokens = Math.min(mMostTokens, mTokens + 1);
+    public void returnToken() {
+        mTokens = Math.min(mMaxTokens, mTokens + 1);
     }
 
     /**
@@ -85,14 +85,14 @@
         if (!mIsLimited) {
             return 0;
         }
-        fill(nowMillis);
-        return Math.max(0, starts - mTokens) / mPerMilli;
+        refill(nowMillis);
+        return Math.max(0, starts - mTokens) / mTokensPerMilli;
     }
 
-    private void fill(long nowMillis) {
+    private void refill(long nowMillis) {
         // Readings of several threads may come in another order than they were taken.
-        long passedMillis = Math.max(0, nowMillis - mFilledMillis);
-        mTokens = Math.min(mMostTokens, mTokens + passedMillis * mPerMilli);
-        mFilledMillis += passedMillis;
+        long passedMillis = Math.max(0, nowMillis - mRefilledAtMillis);
+        mTokens = Math.min(mMaxTokens, mTokens + passedMillis * mTokensPerMilli);
+        mRefilledAtMillis += passedMillis;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/admission/Ticket.java
+++ b/src/main/java/org/apricotgauge/decision/admission/Ticket.java
@@ -10,10 +10,10 @@
  * @param id unique among the tickets of the queue
  * @param member customer whose share it counts against
  * @param priority how long its caller can wait
- * @param work name of the kind of work it is, as its route's; service times are kept for each
- * @param unblocks whether a request that holds a slot somewhere waits for it
- * @param patience whether it may wait
- * @param usefulUntilMillis when it must have ended to be of full use to its caller, by the clock
+ * @param workKind name of the kind of work it is, as its route's; service times are kept for each
+ * @param nestedCall whether a request that holds a slot somewhere waits for it
+ * @param queueingPolicy whether it may wait
+ * @param softDeadlineMillis when it must have ended to be of full use to its caller, by the clock
  *     that the queue is told
  * @param deadlineMillis when it must have ended to be of any use
  */
@@ -21,18 +21,18 @@
         long id,
         Member member,
         Priority priority,
-        String work,
-        boolean unblocks,
-        Patience patience,
-        long usefulUntilMillis,
+        String workKind,
+        boolean nestedCall,
+        QueueingPolicy queueingPolicy,
+        long softDeadlineMillis,
         long deadlineMillis) {
 
     /** Checks the parts. */
     public Ticket {
         Checks.notNull("member", member);
         Checks.notNull("priority", priority);
-        Checks.notNull("work", work);
-        Checks.notNull("patience", patience);
+        Checks.notNull("work", workKind);
+        Checks.notNull("patience", queueingPolicy);
     }
 
     /**
@@ -46,7 +46,7 @@
                 priority,
                 priority.name(),
                 false,
-                Patience.MAY_WAIT,
+                QueueingPolicy.MAY_WAIT,
                 deadlineMillis,
                 deadlineMillis);
     }
--- a/src/main/java/org/apricotgauge/decision/routing/BalancingPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/routing/BalancingPolicy.java
@@ -35,9 +35,9 @@
      * Load per slot that a certainly sick target is charged: with it a target that is known to be
      * sick is taken only before one with three full rounds of work waiting.
      */
-    static final double SICK_LOAD = 3;
+    static final double DEGRADED_LOAD = 3;
 
-    private static final int DRAWS = 8;
+    private static final int MAX_DRAWS = 8;
 
     private BalancingPolicy() {}
 
@@ -52,10 +52,10 @@
      */
     public static Optional<Candidate> choose(
             ServiceTable table, Set<String> tried, RandomGenerator random, long nowNanos) {
-        Candidate local = best(table.local(), tried, random, nowNanos);
-        Candidate remote = best(table.remote(), tried, random, nowNanos);
+        Candidate local = chooseBest(table.local(), tried, random, nowNanos);
+        Candidate remote = chooseBest(table.remote(), tried, random, nowNanos);
         if (local == null && remote == null) {
-            return Optional.ofNullable(best(table.all(), tried, random, nowNanos));
+            return Optional.ofNullable(chooseBest(table.all(), tried, random, nowNanos));
         }
         if (local == null || remote == null) {
             return Optional.of(local == null ? remote : local);
@@ -65,7 +65,7 @@
         return Optional.of(localLoad <= remoteLoad + LOCAL_ADVANTAGE ? local : remote);
     }
 
-    private static Candidate best(
+    private static Candidate chooseBest(
             List<Candidate> from, Set<String> tried, RandomGenerator random, long nowNanos) {
         Candidate one = draw(from, tried, null, random, nowNanos);
         if (one == null) {
@@ -88,7 +88,7 @@
         if (from.isEmpty()) {
             return null;
         }
-        for (int i = 0; i < DRAWS; i++) {
+        for (int i = 0; i < MAX_DRAWS; i++) {
             Candidate candidate = from.get(random.nextInt(from.size()));
             boolean allowed = isAllowed(candidate, tried, except);
             if (allowed && random.nextDouble() < weightOf(candidate, nowNanos)) {
@@ -120,9 +120,9 @@
     }
 
     private static double loadOf(Candidate candidate, long nowNanos) {
-        double load = candidate.load().perSlot(candidate.target().slots(), nowNanos);
-        double sick = candidate.load().sickBeyondUsual(nowNanos);
-        return load + SICK_LOAD * sick;
+        double load = candidate.load().loadPerSlot(candidate.target().slots(), nowNanos);
+        double sick = candidate.load().degradationAboveBaseline(nowNanos);
+        return load + DEGRADED_LOAD * sick;
     }
 
     static double weightOf(Candidate candidate, long nowNanos) {
--- a/src/main/java/org/apricotgauge/decision/routing/RouteIndex.java
+++ b/src/main/java/org/apricotgauge/decision/routing/RouteIndex.java
@@ -49,11 +49,11 @@
      * @param path path of the request, starting with a slash
      */
     public Optional<Route> find(String host, String path) {
-        Route exact = host == null ? null : longest(host.toLowerCase(Locale.ROOT), path);
-        return Optional.ofNullable(exact == null ? longest(Route.ANY_HOST, path) : exact);
+        Route exact = host == null ? null : longestMatch(host.toLowerCase(Locale.ROOT), path);
+        return Optional.ofNullable(exact == null ? longestMatch(Route.ANY_HOST, path) : exact);
     }
 
-    private Route longest(String host, String path) {
+    private Route longestMatch(String host, String path) {
         Map<String, Route> byPrefix = mByHostAndPrefix.get(host);
         if (byPrefix == null) {
             return null;
--- a/src/main/java/org/apricotgauge/decision/routing/RoutingTable.java
+++ b/src/main/java/org/apricotgauge/decision/routing/RoutingTable.java
@@ -67,7 +67,7 @@
     }
 
     /** Returns whether a target is there and takes new work: it is neither leaving nor gone. */
-    public boolean takesWork(Target target) {
+    public boolean acceptsRequests(Target target) {
         return service(target.service())
                 .flatMap(service -> service.candidate(target.id()))
                 .isPresent();
--- a/src/main/java/org/apricotgauge/decision/routing/RoutingTableFactory.java
+++ b/src/main/java/org/apricotgauge/decision/routing/RoutingTableFactory.java
@@ -44,11 +44,11 @@
      * @param leaving whether a target must get no new work
      * @param weightOf share of work a target may get, from 0 to 1
      */
-    public record View(
+    public record TargetStateSource(
             GuardLookup guardOf, Predicate<Target> leaving, ToDoubleFunction<Target> weightOf) {
 
         /** Checks the parts. */
-        public View {
+        public TargetStateSource {
             Checks.notNull("guardOf", guardOf);
             Checks.notNull("leaving", leaving);
             Checks.notNull("weightOf", weightOf);
@@ -69,7 +69,7 @@
             RoutingTable previous,
             long version,
             Configuration configuration,
-            View view,
+            TargetStateSource view,
             long nowNanos) {
         Configuration old = previous.configuration();
         PMap<String, ServiceTable> services = previous.services();
@@ -87,7 +87,7 @@
                 services = services.plus(service.id(), table);
             }
         }
-        forgetRemoved(previous, configuration);
+        evictRemovedTargets(previous, configuration);
         RouteIndex routes =
                 configuration.sharesRoutes(old)
                         ? previous.routes()
@@ -96,7 +96,8 @@
     }
 
     /** Returns the table with one service built anew, after its targets' state changed. */
-    public RoutingTable refresh(RoutingTable previous, String serviceId, View view, long nowNanos) {
+    public RoutingTable refresh(
+            RoutingTable previous, String serviceId, TargetStateSource view, long nowNanos) {
         Service service = previous.configuration().service(serviceId);
         if (service == null) {
             return previous;
@@ -109,7 +110,7 @@
             RoutingTable previous,
             Service service,
             Configuration configuration,
-            View view,
+            TargetStateSource view,
             long nowNanos) {
         boolean known = previous.services().containsKey(service.id());
         Collection<Target> targets = configuration.targetsOf(service.id());
@@ -131,7 +132,7 @@
         return ServiceTable.of(service, candidates, mEntryVm, mEntryDomain);
     }
 
-    private void forgetRemoved(RoutingTable previous, Configuration configuration) {
+    private void evictRemovedTargets(RoutingTable previous, Configuration configuration) {
         if (previous.configuration() == configuration) {
             return;
         }
--- a/src/main/java/org/apricotgauge/decision/routing/ServiceTable.java
+++ b/src/main/java/org/apricotgauge/decision/routing/ServiceTable.java
@@ -21,7 +21,7 @@
  */
 public final class ServiceTable {
     /** Targets that one entry works with, of the own failure domain and of others each. */
-    public static final int SUBSET_EACH = 10;
+    public static final int SUBSET_HALF_SIZE = 10;
 
     private final Service mService;
     private final List<Candidate> mAll;
@@ -66,7 +66,7 @@
         return candidates.stream()
                 .filter(Candidate::isEligible)
                 .sorted(byHash)
-                .limit(SUBSET_EACH)
+                .limit(SUBSET_HALF_SIZE)
                 .toList();
     }
 
--- a/src/main/java/org/apricotgauge/decision/routing/TargetLoad.java
+++ b/src/main/java/org/apricotgauge/decision/routing/TargetLoad.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.apricotgauge.decision.admission.Pace;
+import org.apricotgauge.decision.admission.StartRateLimiter;
 import org.apricotgauge.decision.health.DegradationEstimate;
 import org.apricotgauge.model.StartLimit;
 
@@ -20,19 +20,19 @@
  */
 public final class TargetLoad {
     /** A report says nothing any more after this long. */
-    private static final long REPORT_LIFE_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long REPORT_LIFETIME_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private static final double PERMILLE = 1_000.0;
 
     private final AtomicInteger mInFlight = new AtomicInteger();
     private volatile Report mReport = new Report(0, Long.MIN_VALUE / 2);
 
-    private final Pace mDirectPace = new Pace();
-    private volatile StartLimit mLimit;
+    private final StartRateLimiter mDirectStartLimiter = new StartRateLimiter();
+    private volatile StartLimit mStartLimit;
 
-    private volatile DegradationEstimate mHealth = DegradationEstimate.unknown();
+    private volatile DegradationEstimate mDegradationEstimate = DegradationEstimate.unknown();
 
-    private record Report(int loadPermille, long atNanos) {}
+    private record Report(int loadPermille, long reportedAtNanos) {}
 
     /** Counts a request that starts. */
     public void begin() {
@@ -55,18 +55,18 @@
      * @param loadPermille requests running and waiting, in permille of the slots
      * @param nowNanos time of the report
      */
-    public void report(int loadPermille, long nowNanos) {
+    public void reportLoad(int loadPermille, long nowNanos) {
         mReport = new Report(loadPermille, nowNanos);
     }
 
     /** Takes how many requests a second the target takes; null if it names no limit. */
-    public void reportLimit(StartLimit limit) {
-        mLimit = limit;
+    public void setStartLimit(StartLimit limit) {
+        mStartLimit = limit;
     }
 
     /** Returns how many requests a second the target takes; nothing if it names no limit. */
-    public Optional<StartLimit> limit() {
-        return Optional.ofNullable(mLimit);
+    public Optional<StartLimit> startLimit() {
+        return Optional.ofNullable(mStartLimit);
     }
 
     /**
@@ -77,19 +77,19 @@
      * @param nowMillis present time
      */
     public boolean tryStartDirect(int nodes, long nowMillis) {
-        StartLimit limit = mLimit;
+        StartLimit limit = mStartLimit;
         if (limit == null) {
             return true;
         }
-        synchronized (mDirectPace) {
-            mDirectPace.limit(limit.keptPerSecond() / Math.max(1, nodes), nowMillis);
-            return mDirectPace.tryStart(nowMillis);
+        synchronized (mDirectStartLimiter) {
+            mDirectStartLimiter.setLimit(limit.keptPerSecond() / Math.max(1, nodes), nowMillis);
+            return mDirectStartLimiter.tryStart(nowMillis);
         }
     }
 
     /** Takes how likely the target is to be sick, as its guard told. */
-    public void reportHealth(DegradationEstimate health) {
-        mHealth = health;
+    public void reportDegradation(DegradationEstimate health) {
+        mDegradationEstimate = health;
     }
 
     /**
@@ -98,18 +98,18 @@
      * @param sick probability of another failure right after it, from 0 to 1
      * @param nowMillis present time
      */
-    public void distrust(double sick, long nowMillis) {
-        mHealth = mHealth.withMinimum(sick, nowMillis);
+    public void recordFailure(double sick, long nowMillis) {
+        mDegradationEstimate = mDegradationEstimate.withMinimum(sick, nowMillis);
     }
 
     /** Returns the probability that the target is sick now. */
-    public double sick(long nowNanos) {
-        return mHealth.probabilityAt(TimeUnit.NANOSECONDS.toMillis(nowNanos));
+    public double degradationProbability(long nowNanos) {
+        return mDegradationEstimate.probabilityAt(TimeUnit.NANOSECONDS.toMillis(nowNanos));
     }
 
     /** Returns how much likelier than usual the target is to be sick now; less than 0 if less. */
-    public double sickBeyondUsual(long nowNanos) {
-        DegradationEstimate health = mHealth;
+    public double degradationAboveBaseline(long nowNanos) {
+        DegradationEstimate health = mDegradationEstimate;
         return health.probabilityAt(TimeUnit.NANOSECONDS.toMillis(nowNanos)) - health.baseline();
     }
 
@@ -119,10 +119,10 @@
      * @param slots slots of the target
      * @param nowNanos present time
      */
-    public double perSlot(int slots, long nowNanos) {
+    public double loadPerSlot(int slots, long nowNanos) {
         Report report = mReport;
-        long ageNanos = Math.max(0, nowNanos - report.atNanos());
-        double freshness = Math.max(0.0, 1.0 - (double) ageNanos / REPORT_LIFE_NANOS);
+        long ageNanos = Math.max(0, nowNanos - report.reportedAtNanos());
+        double freshness = Math.max(0.0, 1.0 - (double) ageNanos / REPORT_LIFETIME_NANOS);
         double own = (double) mInFlight.get() / slots;
         return Math.max(own, freshness * report.loadPermille() / PERMILLE);
     }
--- a/src/main/java/org/apricotgauge/directory/AgedSource.java
+++ b/src/main/java/org/apricotgauge/directory/AgedSource.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 import org.apricotgauge.model.Checks;
-import org.apricotgauge.time.ElapsedClock;
+import org.apricotgauge.time.SuspendAwareClock;
 
 /**
  * A source whose answers are as old as their questions at least.
@@ -12,15 +12,15 @@
  */
 final class AgedSource implements PublishedSource {
     private final PublishedSource mSource;
-    private final ElapsedClock mClock;
+    private final SuspendAwareClock mClock;
 
-    AgedSource(PublishedSource source, ElapsedClock clock) {
+    AgedSource(PublishedSource source, SuspendAwareClock clock) {
         mSource = Checks.notNull("source", source);
         mClock = Checks.notNull("clock", clock);
     }
 
     /** Returns the parts of a feed with sources of this kind. */
-    static DirectoryFeed.Parts in(DirectoryFeed.Parts parts, ElapsedClock clock) {
+    static DirectoryFeed.Parts in(DirectoryFeed.Parts parts, SuspendAwareClock clock) {
         return new DirectoryFeed.Parts(
                 new AgedSource(parts.platform(), clock),
                 node -> new AgedSource(parts.peers().apply(node), clock),
--- a/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
+++ b/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
@@ -9,7 +9,7 @@
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Checks;
 import org.apricotgauge.model.SiteView;
-import org.apricotgauge.time.ElapsedClock;
+import org.apricotgauge.time.SuspendAwareClock;
 import org.apricotgauge.time.Ticker;
 
 /**
@@ -117,7 +117,7 @@
 
     /** Creates a feed that is not started. */
     public DirectoryFeed(Parts parts, Listener listener) {
-        ElapsedClock elapsed = new ElapsedClock(parts.ticker(), parts.wallMillis());
+        SuspendAwareClock elapsed = new SuspendAwareClock(parts.ticker(), parts.wallMillis());
         mParts = AgedSource.in(parts, elapsed);
         mAge = new ViewAge(mParts, elapsed);
         mListener = Checks.notNull("listener", listener);
--- a/src/main/java/org/apricotgauge/directory/ViewAge.java
+++ b/src/main/java/org/apricotgauge/directory/ViewAge.java
@@ -1,7 +1,7 @@
 package org.apricotgauge.directory;
 
 import org.apricotgauge.decision.gossip.StalenessGate;
-import org.apricotgauge.time.ElapsedClock;
+import org.apricotgauge.time.SuspendAwareClock;
 
 /**
  * How old a node's view of the site is, and whether the node has heard anything since it last woke.
@@ -16,12 +16,12 @@
     private static final long CONFIRM_MILLIS = 1_000;
 
     private final DirectoryFeed.Parts mParts;
-    private final ElapsedClock mElapsed;
+    private final SuspendAwareClock mElapsed;
     private final Confirmations mConfirmations;
     private final StalenessGate mFreshness;
     private volatile boolean mWasRead;
 
-    ViewAge(DirectoryFeed.Parts parts, ElapsedClock elapsed) {
+    ViewAge(DirectoryFeed.Parts parts, SuspendAwareClock elapsed) {
         mParts = parts;
         mElapsed = elapsed;
         mConfirmations = new Confirmations(parts.times(), elapsed.millis());
--- a/src/main/java/org/apricotgauge/node/HealthNews.java
+++ b/src/main/java/org/apricotgauge/node/HealthNews.java
@@ -148,8 +148,8 @@
                         candidate -> {
                             DegradationEstimate.Report.parse(line.health())
                                     .map(told -> told.receivedAt(mTicker.millis()))
-                                    .ifPresent(candidate.load()::reportHealth);
-                            candidate.load().report(line.load(), mTicker.nanos());
+                                    .ifPresent(candidate.load()::reportDegradation);
+                            candidate.load().reportLoad(line.load(), mTicker.nanos());
                         });
     }
 
--- a/src/main/java/org/apricotgauge/node/RoutingState.java
+++ b/src/main/java/org/apricotgauge/node/RoutingState.java
@@ -38,7 +38,7 @@
     private final AtomicReference<RoutingTable> mTable = new AtomicReference<>(RoutingTable.EMPTY);
     private final RoutingTableFactory mFactory;
     private final Ticker mTicker;
-    private final RoutingTableFactory.View mView;
+    private final RoutingTableFactory.TargetStateSource mView;
     private final Map<String, EjectionVerdicts> mVerdicts = new HashMap<>();
     private final Set<String> mSaidTheyLeave = ConcurrentHashMap.newKeySet();
     private final Deque<String> mSaidInOrder = new ArrayDeque<>();
@@ -47,7 +47,9 @@
     RoutingState(String vm, String failureDomain, Ticker ticker) {
         mFactory = new RoutingTableFactory(vm, failureDomain);
         mTicker = ticker;
-        mView = new RoutingTableFactory.View(this::guardOf, this::isLeaving, this::weightOf);
+        mView =
+                new RoutingTableFactory.TargetStateSource(
+                        this::guardOf, this::isLeaving, this::weightOf);
     }
 
     /** Returns the present table; a request reads it once. */
--- a/src/main/java/org/apricotgauge/target/GuardHandler.java
+++ b/src/main/java/org/apricotgauge/target/GuardHandler.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
 import org.apricotgauge.decision.admission.AdmissionConfig;
-import org.apricotgauge.decision.admission.Patience;
+import org.apricotgauge.decision.admission.QueueingPolicy;
 import org.apricotgauge.decision.admission.Ticket;
 import org.apricotgauge.decision.attempt.Attempt;
 import org.apricotgauge.decision.attempt.AttemptAdmission;
@@ -357,7 +357,7 @@
 
     // Work that waited here while its target left would reach it later than targets serve on.
     private boolean takesWork(Target target) {
-        return mTable.get().takesWork(target);
+        return mTable.get().acceptsRequests(target);
     }
 
     private Target targetOf(Request request) {
@@ -415,14 +415,14 @@
     }
 
     // An entry of an older release names none, and waits as before.
-    private static Patience patienceOf(Request request) {
+    private static QueueingPolicy patienceOf(Request request) {
         String word = request.getHeaders().get(HeaderNames.PATIENCE);
-        for (Patience patience : Patience.values()) {
+        for (QueueingPolicy patience : QueueingPolicy.values()) {
             if (patience.name().toLowerCase(Locale.ROOT).equals(word)) {
                 return patience;
             }
         }
-        return Patience.MAY_WAIT;
+        return QueueingPolicy.MAY_WAIT;
     }
 
     private static Priority priorityOf(Request request) {
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicReference;
-import org.apricotgauge.decision.admission.Refusal;
-import org.apricotgauge.decision.admission.RefusalReason;
-import org.apricotgauge.decision.admission.Result;
+import org.apricotgauge.decision.admission.Rejection;
+import org.apricotgauge.decision.admission.RejectionReason;
+import org.apricotgauge.decision.admission.RunResult;
 import org.apricotgauge.decision.admission.Ticket;
 import org.apricotgauge.decision.attempt.Attempt;
 import org.apricotgauge.decision.attempt.NotRunReason;
@@ -186,13 +186,13 @@
             return;
         }
         if (!mPhase.compareAndSet(Phase.WAITING, Phase.SENDING)) {
-            mGate.leave(mTicket, Result.UNSENT, 0);
+            mGate.leave(mTicket, RunResult.UNSENT, 0);
             return;
         }
         mContext.observer().runStarted(requestId());
         long leftMillis = mTime.leftMillis(mContext.ticker().millis());
         mTimeout = mContext.scheduler().schedule(this::timedOut, leftMillis, TimeUnit.MILLISECONDS);
-        mWatch.begin(mTicket.work(), mGate.usefulMillis(mTicket), leftMillis, this::hung);
+        mWatch.begin(mTicket.workKind(), mGate.usefulMillis(mTicket), leftMillis, this::hung);
         mExchange =
                 UpstreamExchange.send(
                         TargetRequests.create(
@@ -209,18 +209,18 @@
             mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
             endNotRun(reason);
         }
-        mGate.leave(mTicket, Result.UNSENT, 0);
+        mGate.leave(mTicket, RunResult.UNSENT, 0);
     }
 
     @Override
-    public void refused(Refusal refusal) {
+    public void refused(Rejection refusal) {
         if (mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
             mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
             endNotRun(reasonOf(refusal.reason()), refusal.retryAfterMillis());
         }
     }
 
-    private static NotRunReason reasonOf(RefusalReason reason) {
+    private static NotRunReason reasonOf(RejectionReason reason) {
         return switch (reason) {
             case BUSY -> NotRunReason.BUSY;
             case QUEUE_FULL -> NotRunReason.QUEUE_FULL;
@@ -262,7 +262,7 @@
             NotRunReason withheld = mWithheld;
             boolean isUnstarted = mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
             leaveGate(
-                    withheld == null ? Result.FAILED : Result.UNSENT,
+                    withheld == null ? RunResult.FAILED : RunResult.UNSENT,
                     withheld == null ? ObservedOutcome.TARGET_ERROR : ObservedOutcome.CANCELLED);
             if (!isUnstarted) {
                 throw new IllegalStateException("attempt not sent, yet started: " + mAttempt);
@@ -356,7 +356,7 @@
         }
         payForNext(mCaution != HealthGate.RiskTolerance.NONE);
         leaveGate(
-                shed ? Result.SHED : Result.CANCELLED,
+                shed ? RunResult.SHED : RunResult.CANCELLED,
                 shed ? ObservedOutcome.SHED : ObservedOutcome.CANCELLED);
         endNotRun(shed ? NotRunReason.TARGET_SHED : NotRunReason.TARGET_REPLACED, 0);
     }
@@ -378,11 +378,11 @@
 
     // A failure after 1 ms says nothing of the time that work takes. Counted in, it makes waits
     // look short, and requests wait past their deadlines at targets that just began to fail.
-    private static Result resultOf(boolean shed, boolean error) {
+    private static RunResult resultOf(boolean shed, boolean error) {
         if (shed) {
-            return Result.SHED;
+            return RunResult.SHED;
         }
-        return error ? Result.FAILED : Result.ANSWERED;
+        return error ? RunResult.FAILED : RunResult.ANSWERED;
     }
 
     // A target whose call to another service failed has to fail its own request. Taken for a sick
@@ -409,12 +409,12 @@
         CompletableFuture<Void> told = CompletableFuture.completedFuture(null);
         mContext.ledger().broken(mAttempt, mContext.ticker().millis());
         if (mTimedOut) {
-            leaveGate(Result.CANCELLED, ObservedOutcome.TIMEOUT);
+            leaveGate(RunResult.CANCELLED, ObservedOutcome.TIMEOUT);
         } else if (byTarget && !mAbandoned && !mPaidNext) {
-            leaveGate(Result.FAILED, ObservedOutcome.TARGET_ERROR);
+            leaveGate(RunResult.FAILED, ObservedOutcome.TARGET_ERROR);
             told = mWatch.broken();
         } else {
-            leaveGate(Result.CANCELLED, ObservedOutcome.CANCELLED);
+            leaveGate(RunResult.CANCELLED, ObservedOutcome.CANCELLED);
         }
         mContext.metrics().unknown().inc();
         stopTimers();
@@ -444,7 +444,7 @@
         }
     }
 
-    private void leaveGate(Result result, ObservedOutcome outcome) {
+    private void leaveGate(RunResult result, ObservedOutcome outcome) {
         long serviceNanos = Math.max(0, mContext.ticker().nanos() - mSentAtNanos);
         long serviceMicros = TimeUnit.NANOSECONDS.toMicros(serviceNanos);
         mContext.metrics().service().update(serviceNanos, TimeUnit.NANOSECONDS);
--- a/src/main/java/org/apricotgauge/target/TargetGate.java
+++ b/src/main/java/org/apricotgauge/target/TargetGate.java
@@ -4,11 +4,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentMap;
 import org.apricotgauge.decision.admission.AdmissionConfig;
+import org.apricotgauge.decision.admission.AdmissionDecision;
 import org.apricotgauge.decision.admission.AdmissionQueue;
-import org.apricotgauge.decision.admission.Changes;
-import org.apricotgauge.decision.admission.Offer;
-import org.apricotgauge.decision.admission.Refusal;
-import org.apricotgauge.decision.admission.Result;
+import org.apricotgauge.decision.admission.QueueChanges;
+import org.apricotgauge.decision.admission.Rejection;
+import org.apricotgauge.decision.admission.RunResult;
 import org.apricotgauge.decision.admission.Ticket;
 import org.apricotgauge.decision.health.DegradationEstimate;
 import org.apricotgauge.decision.health.HealthGate;
@@ -52,7 +52,7 @@
         void admitted();
 
         /** Called once the work will get no slot. */
-        void refused(Refusal refusal);
+        void refused(Rejection refusal);
     }
 
     TargetGate(
@@ -121,12 +121,12 @@
         // Noted before it is offered: a slot may come free, on another thread, before offer
         // returns.
         mWaiting.put(ticket.id(), work);
-        Offer offer = mQueue.offer(ticket, mTicker.millis());
-        if (offer instanceof Offer.Admitted) {
+        AdmissionDecision offer = mQueue.offer(ticket, mTicker.millis());
+        if (offer instanceof AdmissionDecision.Admitted) {
             admit(ticket);
-        } else if (offer instanceof Offer.Refused refused) {
-            refuse(refused.refusal());
-        } else if (offer instanceof Offer.Queued queued) {
+        } else if (offer instanceof AdmissionDecision.Rejected refused) {
+            refuse(refused.rejection());
+        } else if (offer instanceof AdmissionDecision.Queued queued) {
             queued.displaced().forEach(this::refuse);
             mOnQueued.run();
         }
@@ -134,10 +134,10 @@
 
     /** Returns the time left in which the answer to a request is of full use, in milliseconds. */
     long usefulMillis(Ticket ticket) {
-        return Math.max(1, ticket.usefulUntilMillis() - mTicker.millis());
+        return Math.max(1, ticket.softDeadlineMillis() - mTicker.millis());
     }
 
-    void leave(Ticket ticket, Result result, long serviceMicros) {
+    void leave(Ticket ticket, RunResult result, long serviceMicros) {
         apply(mQueue.release(ticket, result, serviceMicros, mTicker.millis()));
     }
 
@@ -162,9 +162,9 @@
      * taken while the target's limit lets nothing start.
      */
     int loadPermille() {
-        int usable = Math.max(1, mQueue.limit());
+        int usable = Math.max(1, mQueue.concurrencyLimit());
         int inUse = mQueue.inFlight() + mQueue.queued();
-        boolean isPaced = mQueue.isPaced(mTicker.millis());
+        boolean isPaced = mQueue.isRateLimited(mTicker.millis());
         int taken = isPaced ? Math.max(usable + mQueue.queued(), inUse) : inUse;
         return (int) Math.round(PERMILLE * taken / usable);
     }
@@ -188,11 +188,11 @@
     }
 
     int limit() {
-        return mQueue.limit();
+        return mQueue.concurrencyLimit();
     }
 
-    private void apply(Changes changes) {
-        changes.refused().forEach(this::refuse);
+    private void apply(QueueChanges changes) {
+        changes.rejected().forEach(this::refuse);
         changes.admitted().forEach(this::admit);
     }
 
@@ -203,7 +203,7 @@
         }
     }
 
-    private void refuse(Refusal refusal) {
+    private void refuse(Rejection refusal) {
         Work work = mWaiting.remove(refusal.ticket().id());
         if (work != null) {
             work.refused(refusal);
--- a/src/main/java/org/apricotgauge/target/TargetLimit.java
+++ b/src/main/java/org/apricotgauge/target/TargetLimit.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.apricotgauge.decision.admission.AdmissionQueue;
-import org.apricotgauge.decision.admission.Changes;
+import org.apricotgauge.decision.admission.QueueChanges;
 import org.apricotgauge.http.TargetNotice;
 import org.apricotgauge.model.StartLimit;
 import org.apricotgauge.model.Target;
@@ -45,23 +45,24 @@
      *     not lift its limit by leaving it out
      * @param sentMillis when the request that it answers was sent
      */
-    synchronized Changes told(TargetNotice notice, boolean ran, long sentMillis, long nowMillis) {
+    synchronized QueueChanges told(
+            TargetNotice notice, boolean ran, long sentMillis, long nowMillis) {
         mAnswered = true;
         if (notice.unreadable().isPresent()) {
             mReport.unreadable(mTarget, notice.unreadable().get());
-            return Changes.NONE;
+            return QueueChanges.NONE;
         }
         if (notice.limit().isPresent()) {
             mNamedMillis = nowMillis;
             change(notice.limit().get(), nowMillis);
-            return Changes.NONE;
+            return QueueChanges.NONE;
         }
         if (mLimit == null || !ran || sentMillis < mNamedMillis) {
-            return Changes.NONE;
+            return QueueChanges.NONE;
         }
         mReport.changed(mTarget, Optional.empty(), inForce());
         mLimit = null;
-        return mQueue.liftLimit(nowMillis);
+        return mQueue.removeStartLimit(nowMillis);
     }
 
     /** Takes a limit that an entry was told; believed until the target has answered this guard. */
@@ -77,6 +78,6 @@
         }
         mReport.changed(mTarget, Optional.of(limit), inForce());
         mLimit = limit;
-        mQueue.limitStarts(limit.keptPerSecond(), nowMillis);
+        mQueue.setStartLimit(limit.keptPerSecond(), nowMillis);
     }
 }
--- a/src/main/java/org/apricotgauge/time/ElapsedClock.java
+++ b/src/main/java/org/apricotgauge/time/SuspendAwareClock.java
@@ -18,20 +18,20 @@
  * missed, a step back of the time of day changes nothing, and a step ahead makes ages too great,
  * which costs a question. Thread-safe.
  */
-public final class ElapsedClock {
+public final class SuspendAwareClock {
     private final Ticker mTicker;
     private final LongSupplier mWallMillis;
     private final AtomicReference<Reading> mLast;
 
-    private record Reading(long steadyMillis, long wallMillis, long elapsedMillis) {
-        Reading at(long nowSteadyMillis, long nowWallMillis) {
-            long steadyPassedMillis = Math.max(0, nowSteadyMillis - steadyMillis);
+    private record Reading(long monotonicMillis, long wallMillis, long elapsedMillis) {
+        Reading advanceTo(long nowSteadyMillis, long nowWallMillis) {
+            long steadyPassedMillis = Math.max(0, nowSteadyMillis - monotonicMillis);
             long wallPassedMillis = nowWallMillis - wallMillis;
             // Both clocks count whole milliseconds from different starts.
             boolean wasSuspended = wallPassedMillis > steadyPassedMillis + 1;
             long passedMillis = wasSuspended ? wallPassedMillis : steadyPassedMillis;
             return new Reading(
-                    Math.max(steadyMillis, nowSteadyMillis),
+                    Math.max(monotonicMillis, nowSteadyMillis),
                     nowWallMillis,
                     elapsedMillis + passedMillis);
         }
@@ -43,7 +43,7 @@
      * @param ticker time of intervals
      * @param wallMillis time of day, in milliseconds
      */
-    public ElapsedClock(Ticker ticker, LongSupplier wallMillis) {
+    public SuspendAwareClock(Ticker ticker, LongSupplier wallMillis) {
         mTicker = Checks.notNull("ticker", ticker);
         mWallMillis = Checks.notNull("wallMillis", wallMillis);
         long steadyMillis = ticker.millis();
@@ -56,6 +56,6 @@
     public long millis() {
         long steadyMillis = mTicker.millis();
         long wallMillis = mWallMillis.getAsLong();
-        return mLast.updateAndGet(last -> last.at(steadyMillis, wallMillis)).elapsedMillis();
+        return mLast.updateAndGet(last -> last.advanceTo(steadyMillis, wallMillis)).elapsedMillis();
     }
 }
--- a/src/test/java/org/apricotgauge/caller/TargetChoiceTest.java
+++ b/src/test/java/org/apricotgauge/caller/TargetChoiceTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import org.apricotgauge.decision.admission.Patience;
+import org.apricotgauge.decision.admission.QueueingPolicy;
 import org.apricotgauge.decision.attempt.NotRunReason;
 import org.apricotgauge.decision.attempt.Outcome;
 import org.apricotgauge.decision.attempt.RetryPolicy;
@@ -39,12 +39,12 @@
         TargetChoice choice = choice();
 
         Candidate first = choice.next(null).orElseThrow();
-        assertThat(choice.patience()).isEqualTo(Patience.NO_WAIT);
+        assertThat(choice.patience()).isEqualTo(QueueingPolicy.NO_WAIT);
         Candidate second = choice.next(refused(NotRunReason.BUSY)).orElseThrow();
-        assertThat(choice.patience()).isEqualTo(Patience.NO_WAIT);
+        assertThat(choice.patience()).isEqualTo(QueueingPolicy.NO_WAIT);
         assertThat(second).isNotSameAs(first);
-        mCandidates.forEach(one -> one.load().report(2_000, mTicker.nanos()));
-        first.load().report(1_000, mTicker.nanos());
+        mCandidates.forEach(one -> one.load().reportLoad(2_000, mTicker.nanos()));
+        first.load().reportLoad(1_000, mTicker.nanos());
         Set<Candidate> third = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             third.add(thirdChoice());
@@ -58,11 +58,11 @@
         choice.next(null);
         choice.next(refused(NotRunReason.BUSY));
         Candidate third = choice.next(refused(NotRunReason.BUSY)).orElseThrow();
-        assertThat(choice.patience()).isEqualTo(Patience.WHILE_USEFUL);
+        assertThat(choice.patience()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
         choice.next(refused(NotRunReason.BUSY));
-        assertThat(choice.patience()).isEqualTo(Patience.WHILE_USEFUL);
+        assertThat(choice.patience()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
         choice.next(refused(NotRunReason.BUSY));
-        assertThat(choice.patience()).isEqualTo(Patience.MAY_WAIT);
+        assertThat(choice.patience()).isEqualTo(QueueingPolicy.MAY_WAIT);
         return third;
     }
 
@@ -72,7 +72,7 @@
         // is the least likely to be sick, once, and is refused for good after that.
         TargetChoice choice = choice();
         for (int i = 0; i < TARGETS; i++) {
-            mCandidates.get(i).load().distrust(0.9 - 0.1 * i, mTicker.millis());
+            mCandidates.get(i).load().recordFailure(0.9 - 0.1 * i, mTicker.millis());
         }
         Optional<Candidate> next = choice.next(null);
         Set<Candidate> tried = new HashSet<>();
@@ -84,7 +84,7 @@
 
         assertThat(tried).hasSize(TARGETS);
         assertThat(choice.isLastResort()).isTrue();
-        assertThat(choice.patience()).isEqualTo(Patience.MAY_WAIT);
+        assertThat(choice.patience()).isEqualTo(QueueingPolicy.MAY_WAIT);
         assertThat(next.orElseThrow()).isSameAs(mCandidates.get(TARGETS - 1));
         assertThat(choice.next(refused(NotRunReason.QUEUE_FULL))).isEmpty();
     }
@@ -102,7 +102,7 @@
         }
 
         assertThat(choice.next(refused(NotRunReason.QUEUE_FULL))).containsSame(ran);
-        assertThat(choice.patience()).isEqualTo(Patience.MAY_WAIT);
+        assertThat(choice.patience()).isEqualTo(QueueingPolicy.MAY_WAIT);
         assertThat(choice.next(refused(NotRunReason.QUEUE_FULL))).isEmpty();
     }
 
--- a/src/test/java/org/apricotgauge/decision/admission/AdmissionQueueTest.java
+++ b/src/test/java/org/apricotgauge/decision/admission/AdmissionQueueTest.java
@@ -18,23 +18,23 @@
     private long mNextId;
 
     @Test
-    void whatCannotMakeItsDeadlineIsRefusedAtOnceAndToldWhenToComeBack() {
+    void rejectsTicketThatCannotMeetItsDeadlineWithRetryAfter() {
         fillSlots();
-        Offer offer = mQueue.offer(ticket("m", Priority.NORMAL, 12), 0);
+        AdmissionDecision offer = mQueue.offer(ticket("m", Priority.NORMAL, 12), 0);
         assertThat(offer)
                 .isInstanceOfSatisfying(
-                        Offer.Refused.class,
+                        AdmissionDecision.Rejected.class,
                         refused -> {
-                            assertThat(refused.refusal().reason())
-                                    .isEqualTo(RefusalReason.DEADLINE_TOO_SHORT);
-                            assertThat(refused.refusal().retryAfterMillis()).isPositive();
+                            assertThat(refused.rejection().reason())
+                                    .isEqualTo(RejectionReason.DEADLINE_TOO_SHORT);
+                            assertThat(refused.rejection().retryAfterMillis()).isPositive();
                         });
     }
 
     /** Guards against requests that wait for a limited target though another could serve them. */
     @Test
-    void aLimitedTargetRefusesAtOnceWhatMayNotWaitAndTellsWhenItMayStart() {
-        mQueue.limitStarts(1, 0);
+    void rateLimitedTargetRejectsTicketThatMustNotWaitWithRetryAfter() {
+        mQueue.setStartLimit(1, 0);
 
         Ticket hasty =
                 new Ticket(
@@ -43,69 +43,71 @@
                         Priority.NORMAL,
                         "w",
                         false,
-                        Patience.NO_WAIT,
+                        QueueingPolicy.NO_WAIT,
                         10_000,
                         10_000);
         assertThat(mQueue.offer(hasty, 0))
                 .isInstanceOfSatisfying(
-                        Offer.Refused.class,
+                        AdmissionDecision.Rejected.class,
                         refused -> {
-                            assertThat(refused.refusal().reason()).isEqualTo(RefusalReason.BUSY);
-                            assertThat(refused.refusal().retryAfterMillis()).isEqualTo(1_000);
+                            assertThat(refused.rejection().reason())
+                                    .isEqualTo(RejectionReason.BUSY);
+                            assertThat(refused.rejection().retryAfterMillis()).isEqualTo(1_000);
                         });
         assertThat(mQueue.offer(ticket("m", Priority.NORMAL, 900), 0))
-                .isInstanceOf(Offer.Refused.class);
+                .isInstanceOf(AdmissionDecision.Rejected.class);
     }
 
     @Test
-    void whatWaitsForALimitedTargetStartsInItsTurn() {
-        mQueue.limitStarts(1, 0);
+    void ticketsQueuedForRateLimitedTargetStartInOrder() {
+        mQueue.setStartLimit(1, 0);
         Ticket first = ticket("m", Priority.NORMAL, 10_000);
         Ticket second = ticket("m", Priority.NORMAL, 10_000);
-        assertThat(mQueue.offer(first, 0)).isInstanceOf(Offer.Queued.class);
-        assertThat(mQueue.offer(second, 0)).isInstanceOf(Offer.Queued.class);
+        assertThat(mQueue.offer(first, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+        assertThat(mQueue.offer(second, 0)).isInstanceOf(AdmissionDecision.Queued.class);
 
         assertThat(mQueue.expire(999).admitted()).isEmpty();
         assertThat(mQueue.expire(1_000).admitted()).containsExactly(first);
-        assertThat(mQueue.release(first, Result.UNSENT, 0, 1_001).admitted())
+        assertThat(mQueue.release(first, RunResult.UNSENT, 0, 1_001).admitted())
                 .containsExactly(second);
-        assertThat(mQueue.release(second, Result.ANSWERED, SERVICE_MICROS, 1_100).admitted())
+        assertThat(mQueue.release(second, RunResult.ANSWERED, SERVICE_MICROS, 1_100).admitted())
                 .isEmpty();
-        assertThat(mQueue.isPaced(1_100)).isTrue();
+        assertThat(mQueue.isRateLimited(1_100)).isTrue();
     }
 
     @Test
-    void aLiftedLimitLetsStartWhatWaits() {
-        mQueue.limitStarts(1, 0);
+    void removingStartLimitStartsQueuedTickets() {
+        mQueue.setStartLimit(1, 0);
         Ticket waiting = ticket("m", Priority.NORMAL, 10_000);
         mQueue.offer(waiting, 0);
 
-        assertThat(mQueue.liftLimit(10).admitted()).containsExactly(waiting);
+        assertThat(mQueue.removeStartLimit(10).admitted()).containsExactly(waiting);
     }
 
     @Test
-    void whatWaitedTooLongIsGivenBackNotServed() {
+    void rejectsQueuedTicketWhoseDeadlineIsTooNear() {
         List<Ticket> running = fillSlots();
         Ticket waiting = ticket("m", Priority.NORMAL, 100);
-        assertThat(mQueue.offer(waiting, 0)).isInstanceOf(Offer.Queued.class);
-        assertThat(mQueue.expire(50)).isEqualTo(Changes.NONE);
-        Changes changes = mQueue.release(running.get(0), Result.ANSWERED, SERVICE_MICROS, 99);
+        assertThat(mQueue.offer(waiting, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+        assertThat(mQueue.expire(50)).isEqualTo(QueueChanges.NONE);
+        QueueChanges changes =
+                mQueue.release(running.get(0), RunResult.ANSWERED, SERVICE_MICROS, 99);
         assertThat(changes.admitted()).isEmpty();
-        assertThat(changes.refused()).extracting(Refusal::ticket).containsExactly(waiting);
+        assertThat(changes.rejected()).extracting(Rejection::ticket).containsExactly(waiting);
         assertThat(mQueue.inFlight()).isEqualTo(1);
     }
 
     @Test
-    void aFullQueueTakesThePlaceOfWhoeverHasMostWaiting() {
+    void fullQueueDisplacesTicketOfMemberWithMostQueued() {
         fillSlots();
         for (int i = 0; i < 6; i++) {
             mQueue.offer(ticket("greedy", Priority.NORMAL, 10_000), 0);
         }
         assertThat(mQueue.offer(ticket("greedy", Priority.NORMAL, 10_000), 0))
-                .isInstanceOf(Offer.Refused.class);
+                .isInstanceOf(AdmissionDecision.Rejected.class);
         assertThat(mQueue.offer(ticket("modest", Priority.PATIENT, 10_000), 0))
                 .isInstanceOfSatisfying(
-                        Offer.Queued.class,
+                        AdmissionDecision.Queued.class,
                         queued ->
                                 assertThat(queued.displaced())
                                         .extracting(refusal -> refusal.ticket().member().id())
@@ -114,7 +116,7 @@
     }
 
     @Test
-    void slotsAreSharedByWeightAndNoClassStarves() {
+    void sharesSlotsByWeightWithoutStarvingAnyClass() {
         AdmissionQueue queue = new AdmissionQueue(config(1, 300));
         Member light = new Member("light", 1);
         Member heavy = new Member("heavy", 3);
@@ -126,7 +128,8 @@
         Map<String, Integer> served = new HashMap<>();
         Ticket running = new Ticket(0, light, Priority.URGENT, 1_000_000);
         for (int i = 1; i <= 80; i++) {
-            Changes changes = queue.release(running, Result.ANSWERED, SERVICE_MICROS, i * 10L);
+            QueueChanges changes =
+                    queue.release(running, RunResult.ANSWERED, SERVICE_MICROS, i * 10L);
             running = changes.admitted().get(0);
             served.merge(running.member().id(), 1, Integer::sum);
             served.merge(running.priority().name(), 1, Integer::sum);
@@ -136,13 +139,13 @@
     }
 
     @Test
-    void theLimitFollowsWhatTheTargetShedsAndGrowsBack() {
+    void concurrencyLimitFollowsShedRequestsAndRecovers() {
         AdmissionQueue queue = new AdmissionQueue(config(3, 300));
         List<Ticket> running = new ArrayList<>();
         long nowMillis = 0;
         for (int i = 0; i < 200; i++) {
             Ticket ticket = ticket("m", Priority.NORMAL, 1_000_000);
-            if (queue.offer(ticket, nowMillis) instanceof Offer.Admitted) {
+            if (queue.offer(ticket, nowMillis) instanceof AdmissionDecision.Admitted) {
                 running.add(ticket);
             }
         }
@@ -152,29 +155,29 @@
             nowMillis += 10;
             boolean shed = nowMillis < 1_000 && running.size() > 2;
             sheds += shed ? 1 : 0;
-            Result result = shed ? Result.SHED : Result.ANSWERED;
+            RunResult result = shed ? RunResult.SHED : RunResult.ANSWERED;
             // The one that came last finds no slot.
             Ticket done = running.remove(shed ? running.size() - 1 : 0);
             running.addAll(queue.release(done, result, SERVICE_MICROS, nowMillis).admitted());
             queue.offer(ticket("m", Priority.NORMAL, 1_000_000), nowMillis);
-            assertThat(queue.limit()).isEqualTo(shed ? 2 : queue.inFlight());
+            assertThat(queue.concurrencyLimit()).isEqualTo(shed ? 2 : queue.inFlight());
         }
         // Tries double their distance: 50, 100, 200, 400 ms, so five or so in the second.
         assertThat(sheds).isBetween(3, 6);
-        assertThat(queue.limit()).isEqualTo(3);
+        assertThat(queue.concurrencyLimit()).isEqualTo(3);
     }
 
     @Test
-    void madeUpMembersDoNotTakeTheMemory() {
+    void boundsMemoryForArbitraryMemberIds() {
         AdmissionQueue queue = new AdmissionQueue(new AdmissionConfig(1, 300, 8, 10_000));
         for (int i = 0; i < 300; i++) {
             queue.offer(ticket("made-up-" + i, Priority.NORMAL, 1_000_000), 0);
         }
-        assertThat(queue.members()).isLessThanOrEqualTo(8 + 16);
+        assertThat(queue.memberCount()).isLessThanOrEqualTo(8 + 16);
     }
 
     @Test
-    void aShortLookupMayWaitWhereLongWorkOfItsClassCould() {
+    void estimatesServiceTimePerKindOfWorkNotPerPriority() {
         // Reports of 600 ms and lookups of 60 ms share a class. A lookup with 600 ms left comes
         // while all slots are busy; judged by the time that reports need it would be refused, and
         // the booking that waits for it would fail.
@@ -183,15 +186,17 @@
             serve(queue, "report", 600_000);
             serve(queue, "lookup", 60_000);
         }
-        queue.offer(work("report", 10_000), 0);
-        queue.offer(work("report", 10_000), 0);
+        queue.offer(ticketOfKind("report", 10_000), 0);
+        queue.offer(ticketOfKind("report", 10_000), 0);
 
-        assertThat(queue.offer(work("lookup", 600), 0)).isInstanceOf(Offer.Queued.class);
-        assertThat(queue.offer(work("report", 600), 0)).isInstanceOf(Offer.Refused.class);
+        assertThat(queue.offer(ticketOfKind("lookup", 600), 0))
+                .isInstanceOf(AdmissionDecision.Queued.class);
+        assertThat(queue.offer(ticketOfKind("report", 600), 0))
+                .isInstanceOf(AdmissionDecision.Rejected.class);
     }
 
     @Test
-    void theEarliestDeadlineOfAClassGoesFirst() {
+    void servesEarliestDeadlineOfClassFirst() {
         AdmissionQueue queue = new AdmissionQueue(config(1, 6));
         Ticket running = ticket("m", Priority.URGENT, 10_000);
         Ticket booking = ticket("m", Priority.URGENT, 1_500);
@@ -200,29 +205,29 @@
         queue.offer(booking, 0);
         queue.offer(lookup, 0);
 
-        Changes changes = queue.release(running, Result.ANSWERED, SERVICE_MICROS, 10);
+        QueueChanges changes = queue.release(running, RunResult.ANSWERED, SERVICE_MICROS, 10);
 
         assertThat(changes.admitted()).containsExactly(lookup);
     }
 
     @Test
-    void whatMustNotWaitIsTurnedAwayWhileNoSlotIsFree() {
+    void rejectsTicketThatMustNotWaitWhileNoSlotIsFree() {
         List<Ticket> running = fillSlots();
-        Ticket looking = patient(Patience.NO_WAIT, 10_000);
+        Ticket looking = ticketWithPolicy(QueueingPolicy.NO_WAIT, 10_000);
         assertThat(mQueue.offer(looking, 0))
                 .isInstanceOfSatisfying(
-                        Offer.Refused.class,
+                        AdmissionDecision.Rejected.class,
                         refused ->
-                                assertThat(refused.refusal().reason())
-                                        .isEqualTo(RefusalReason.BUSY));
+                                assertThat(refused.rejection().reason())
+                                        .isEqualTo(RejectionReason.BUSY));
 
-        mQueue.release(running.get(0), Result.ANSWERED, SERVICE_MICROS, 10);
+        mQueue.release(running.get(0), RunResult.ANSWERED, SERVICE_MICROS, 10);
 
-        assertThat(mQueue.offer(looking, 10)).isInstanceOf(Offer.Admitted.class);
+        assertThat(mQueue.offer(looking, 10)).isInstanceOf(AdmissionDecision.Admitted.class);
     }
 
     @Test
-    void aTargetThatShedsItsOnlyUsersWorkKeepsAllItsSlots() {
+    void exclusiveTargetThatShedsKeepsItsConcurrencyLimit() {
         // A broken target sheds half of its requests with slots free. Were its limit to step down,
         // the other half would wait for one slot of three, and run out of time.
         AdmissionQueue queue =
@@ -232,31 +237,31 @@
         for (int i = 0; i < 20; i++) {
             Ticket shed = ticket("m", Priority.NORMAL, 10_000);
             queue.offer(shed, i);
-            queue.release(shed, Result.SHED, 1_000, i);
+            queue.release(shed, RunResult.SHED, 1_000, i);
         }
 
-        assertThat(queue.limit()).isEqualTo(3);
+        assertThat(queue.concurrencyLimit()).isEqualTo(3);
     }
 
     private void serve(AdmissionQueue queue, String work, long serviceMicros) {
-        Ticket ticket = work(work, 100_000);
+        Ticket ticket = ticketOfKind(work, 100_000);
         queue.offer(ticket, 0);
-        queue.release(ticket, Result.ANSWERED, serviceMicros, 0);
+        queue.release(ticket, RunResult.ANSWERED, serviceMicros, 0);
     }
 
-    private Ticket work(String work, long deadlineMillis) {
+    private Ticket ticketOfKind(String work, long deadlineMillis) {
         return new Ticket(
                 mNextId++,
                 new Member("m", 1),
                 Priority.NORMAL,
                 work,
                 false,
-                Patience.MAY_WAIT,
+                QueueingPolicy.MAY_WAIT,
                 deadlineMillis,
                 deadlineMillis);
     }
 
-    private Ticket patient(Patience patience, long usefulUntilMillis) {
+    private Ticket ticketWithPolicy(QueueingPolicy patience, long usefulUntilMillis) {
         return new Ticket(
                 mNextId++,
                 new Member("m", 1),
@@ -269,7 +274,7 @@
     }
 
     @Test
-    void theCallOfARunningRequestGoesBeforeNewWorkOfItsClass() {
+    void servesNestedCallBeforeOtherTicketsOfItsClass() {
         // Orders wait at a busy target, one of them with little time left, when a lookup comes that
         // an order which runs elsewhere needs. It gets the next slot: that order holds a slot
         // meanwhile, and fails if its lookup does.
@@ -278,7 +283,7 @@
             mQueue.offer(ticket("m", Priority.URGENT, 10_000), 0);
         }
         assertThat(mQueue.offer(ticket("m", Priority.URGENT, 20), 0))
-                .isInstanceOf(Offer.Queued.class);
+                .isInstanceOf(AdmissionDecision.Queued.class);
         Ticket call =
                 new Ticket(
                         mNextId++,
@@ -286,76 +291,78 @@
                         Priority.URGENT,
                         "lookup",
                         true,
-                        Patience.MAY_WAIT,
+                        QueueingPolicy.MAY_WAIT,
                         25,
                         25);
 
-        assertThat(mQueue.offer(call, 0)).isInstanceOf(Offer.Queued.class);
-        Changes changes = mQueue.release(running.get(0), Result.ANSWERED, SERVICE_MICROS, 5);
+        assertThat(mQueue.offer(call, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+        QueueChanges changes =
+                mQueue.release(running.get(0), RunResult.ANSWERED, SERVICE_MICROS, 5);
 
         assertThat(changes.admitted()).containsExactly(call);
     }
 
     @Test
-    void whatCanStillBeOfFullUseGoesBeforeWhatCannot() {
+    void servesTicketThatMeetsItsSoftDeadlineFirst() {
         // One slot, served in the order of arrival, would make both late. The first can no longer
         // be in time and waits to its deadline; the second, which came later, can, and goes first.
         AdmissionQueue queue = new AdmissionQueue(config(1, 6));
         Ticket running = ticket("m", Priority.NORMAL, 100_000);
-        Ticket late = patient(Patience.MAY_WAIT, 15);
-        Ticket useful = patient(Patience.WHILE_USEFUL, 500);
+        Ticket late = ticketWithPolicy(QueueingPolicy.MAY_WAIT, 15);
+        Ticket useful = ticketWithPolicy(QueueingPolicy.WHILE_USEFUL, 500);
         queue.offer(running, 0);
-        assertThat(queue.offer(late, 0)).isInstanceOf(Offer.Queued.class);
-        assertThat(queue.offer(useful, 0)).isInstanceOf(Offer.Queued.class);
+        assertThat(queue.offer(late, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+        assertThat(queue.offer(useful, 0)).isInstanceOf(AdmissionDecision.Queued.class);
 
-        Changes changes = queue.release(running, Result.ANSWERED, SERVICE_MICROS, 10);
+        QueueChanges changes = queue.release(running, RunResult.ANSWERED, SERVICE_MICROS, 10);
 
         assertThat(changes.admitted()).containsExactly(useful);
         assertThat(queue.queued()).isEqualTo(1);
     }
 
     @Test
-    void whatIsLateAlreadyDoesNotWaitBehindAQueueThatOvertakesIt() {
+    void rejectsLateTicketBehindFullRoundOfTickets() {
         // A busy target has a round of useful work waiting, and more comes all the time. A late
         // request would be overtaken until its deadline; it is told at once to look elsewhere.
         List<Ticket> running = fillSlots();
-        assertThat(mQueue.offer(patient(Patience.MAY_WAIT, 0), 0)).isInstanceOf(Offer.Queued.class);
-        assertThat(mQueue.offer(patient(Patience.MAY_WAIT, 500), 0))
-                .isInstanceOf(Offer.Queued.class);
+        assertThat(mQueue.offer(ticketWithPolicy(QueueingPolicy.MAY_WAIT, 0), 0))
+                .isInstanceOf(AdmissionDecision.Queued.class);
+        assertThat(mQueue.offer(ticketWithPolicy(QueueingPolicy.MAY_WAIT, 500), 0))
+                .isInstanceOf(AdmissionDecision.Queued.class);
 
-        assertThat(mQueue.offer(patient(Patience.MAY_WAIT, 0), 0))
+        assertThat(mQueue.offer(ticketWithPolicy(QueueingPolicy.MAY_WAIT, 0), 0))
                 .isInstanceOfSatisfying(
-                        Offer.Refused.class,
+                        AdmissionDecision.Rejected.class,
                         refused ->
-                                assertThat(refused.refusal().reason())
-                                        .isEqualTo(RefusalReason.BUSY));
-        assertThat(mQueue.offer(patient(Patience.MAY_WAIT, 500), 0))
-                .isInstanceOf(Offer.Queued.class);
+                                assertThat(refused.rejection().reason())
+                                        .isEqualTo(RejectionReason.BUSY));
+        assertThat(mQueue.offer(ticketWithPolicy(QueueingPolicy.MAY_WAIT, 500), 0))
+                .isInstanceOf(AdmissionDecision.Queued.class);
         assertThat(running).hasSize(2);
     }
 
     @Test
-    void whatWaitsForFullUseIsGivenBackOnceItCannotBe() {
+    void rejectsQueuedTicketThatMissesItsSoftDeadline() {
         List<Ticket> running = fillSlots();
-        Ticket waiting = patient(Patience.WHILE_USEFUL, 100);
-        Ticket staying = patient(Patience.MAY_WAIT, 100);
-        assertThat(mQueue.offer(waiting, 0)).isInstanceOf(Offer.Queued.class);
-        assertThat(mQueue.offer(staying, 0)).isInstanceOf(Offer.Queued.class);
-
-        Changes changes = mQueue.expire(95);
-
-        assertThat(changes.refused()).extracting(Refusal::ticket).containsExactly(waiting);
-        assertThat(changes.refused().get(0).reason()).isEqualTo(RefusalReason.BUSY);
-        assertThat(mQueue.offer(patient(Patience.WHILE_USEFUL, 100), 95))
-                .isInstanceOf(Offer.Refused.class);
-        Changes freed = mQueue.release(running.get(0), Result.ANSWERED, SERVICE_MICROS, 96);
+        Ticket waiting = ticketWithPolicy(QueueingPolicy.WHILE_USEFUL, 100);
+        Ticket staying = ticketWithPolicy(QueueingPolicy.MAY_WAIT, 100);
+        assertThat(mQueue.offer(waiting, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+        assertThat(mQueue.offer(staying, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+
+        QueueChanges changes = mQueue.expire(95);
+
+        assertThat(changes.rejected()).extracting(Rejection::ticket).containsExactly(waiting);
+        assertThat(changes.rejected().get(0).reason()).isEqualTo(RejectionReason.BUSY);
+        assertThat(mQueue.offer(ticketWithPolicy(QueueingPolicy.WHILE_USEFUL, 100), 95))
+                .isInstanceOf(AdmissionDecision.Rejected.class);
+        QueueChanges freed = mQueue.release(running.get(0), RunResult.ANSWERED, SERVICE_MICROS, 96);
         assertThat(freed.admitted()).containsExactly(staying);
     }
 
     @Test
-    void releasingWhatHasNoSlotBreaksAnInvariant() {
+    void releaseWithoutSlotThrows() {
         Ticket ticket = ticket("m", Priority.NORMAL, 100);
-        assertThatThrownBy(() -> mQueue.release(ticket, Result.ANSWERED, 1, 0))
+        assertThatThrownBy(() -> mQueue.release(ticket, RunResult.ANSWERED, 1, 0))
                 .isInstanceOf(IllegalStateException.class);
     }
 
@@ -363,7 +370,8 @@
         List<Ticket> running = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             running.add(ticket("m", Priority.NORMAL, 10_000));
-            assertThat(mQueue.offer(running.get(i), 0)).isInstanceOf(Offer.Admitted.class);
+            assertThat(mQueue.offer(running.get(i), 0))
+                    .isInstanceOf(AdmissionDecision.Admitted.class);
         }
         return running;
     }
--- a/src/test/java/org/apricotgauge/decision/routing/BalancingPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/routing/BalancingPolicyTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void ejectedAndLeavingTargetsGetNothing() {
+    void ejectedAndLeavingTargetsGetNoRequests() {
         Candidate leaving =
                 new Candidate(
                         warm("c", "here", 1).target(),
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aSuspectGetsAboutItsWeight() {
+    void suspectGetsShareByWeight() {
         ServiceTable table =
                 table(
                         warm("a", "here", 1),
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aColdTargetStartsWithATenth() {
+    void coldTargetStartsWithTenthOfItsShare() {
         ServiceTable table =
                 table(
                         warm("a", "here", 1),
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void theOwnFailureDomainIsLeftWhenItIsTheBusier() {
+    void choosesRemoteTargetWhenOwnFailureDomainIsBusier() {
         Candidate near = warm("near", "here", 1);
         ServiceTable table = table(near, warm("far", "there", 1));
         assertThat(draw(table, 0)).containsOnlyKeys("near");
@@ -99,16 +99,16 @@
     }
 
     @Test
-    void aReportOfTheGuardCountsWhileItIsFresh() {
+    void guardLoadReportCountsWhileFresh() {
         Candidate near = warm("near", "here", 1);
         ServiceTable table = table(near, warm("far", "there", 1));
-        near.load().report(1_500, 0);
+        near.load().reportLoad(1_500, 0);
         assertThat(draw(table, 0)).containsOnlyKeys("far");
         assertThat(draw(table, 3_000_000_000L)).containsOnlyKeys("near");
     }
 
     @Property(seed = "12", tries = 300)
-    void somethingIsChosenWhileAnythingUntriedIsEligible(
+    void choosesTargetWhileAnyUntriedOneIsEligible(
             @ForAll @IntRange(min = 1, max = 40) int targets,
             @ForAll @IntRange(min = 0, max = 39) int tried,
             @ForAll @IntRange(min = 0, max = 39) int ejected) {
--- a/src/test/java/org/apricotgauge/decision/routing/RouteIndexTest.java
+++ b/src/test/java/org/apricotgauge/decision/routing/RouteIndexTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void anExactHostGoesBeforeAnyHost() {
+    void exactHostWinsOverAnyHost() {
         RouteIndex index = RouteIndex.of(List.of(route("a", "*", "/x/y"), route("b", "h", "/")));
         assertThat(index.find("H", "/x/y").orElseThrow().id()).isEqualTo("b");
         assertThat(index.find("other", "/x/y/z").orElseThrow().id()).isEqualTo("a");
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aPrefixEndsAtASlash() {
+    void prefixEndsAtSlash() {
         RouteIndex index = RouteIndex.of(List.of(route("a", "*", "/book")));
         assertThat(index.find("h", "/book")).isPresent();
         assertThat(index.find("h", "/book/1")).isPresent();
@@ -38,13 +38,13 @@
     }
 
     @Test
-    void ofEqualRoutesTheFirstByNameWins() {
+    void equalRoutesResolveToFirstById() {
         List<Route> routes = List.of(route("b", "*", "/x"), route("a", "*", "/x/"));
         assertThat(RouteIndex.of(routes).find("h", "/x").orElseThrow().id()).isEqualTo("a");
     }
 
     @Property(seed = "11", tries = 500)
-    void agreesWithASearchThroughAllRoutes(
+    void agreesWithLinearSearch(
             @ForAll("paths") List<String> prefixes, @ForAll("path") String path) {
         List<Route> routes = new ArrayList<>();
         for (int i = 0; i < prefixes.size(); i++) {
--- a/src/test/java/org/apricotgauge/directory/AgedSourceTest.java
+++ b/src/test/java/org/apricotgauge/directory/AgedSourceTest.java
@@ -4,8 +4,8 @@
 
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.apricotgauge.time.ElapsedClock;
 import org.apricotgauge.time.ManualTicker;
+import org.apricotgauge.time.SuspendAwareClock;
 import org.junit.jupiter.api.Test;
 
 class AgedSourceTest {
@@ -13,7 +13,8 @@
     private final CompletableFuture<PublishedPage> mAnswer = new CompletableFuture<>();
     private final AgedSource mSource =
             new AgedSource(
-                    (after, waitMillis) -> mAnswer, new ElapsedClock(mTicker, mTicker::millis));
+                    (after, waitMillis) -> mAnswer,
+                    new SuspendAwareClock(mTicker, mTicker::millis));
 
     private PublishedPage readFor(long waitMillis, long ageMillis) {
         CompletableFuture<PublishedPage> read = mSource.read(5, waitMillis);
--- a/src/test/java/org/apricotgauge/functional/Hops.java
+++ b/src/test/java/org/apricotgauge/functional/Hops.java
@@ -239,8 +239,8 @@
     /** Builds the table anew for each reading; tests change the site between requests only. */
     private RoutingTable table(String entryVm) {
         HopVm vm = mVms.get(entryVm);
-        RoutingTableFactory.View view =
-                new RoutingTableFactory.View(
+        RoutingTableFactory.TargetStateSource view =
+                new RoutingTableFactory.TargetStateSource(
                         this::guardOf,
                         target -> isLeaving(target) || vm.mToldLeaving.contains(target.id()),
                         target -> 1.0);
--- a/src/test/java/org/apricotgauge/functional/attempt/GuardModel.java
+++ b/src/test/java/org/apricotgauge/functional/attempt/GuardModel.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.apricotgauge.decision.admission.AdmissionConfig;
+import org.apricotgauge.decision.admission.AdmissionDecision;
 import org.apricotgauge.decision.admission.AdmissionQueue;
-import org.apricotgauge.decision.admission.Changes;
-import org.apricotgauge.decision.admission.Offer;
-import org.apricotgauge.decision.admission.RefusalReason;
-import org.apricotgauge.decision.admission.Result;
+import org.apricotgauge.decision.admission.QueueChanges;
+import org.apricotgauge.decision.admission.RejectionReason;
+import org.apricotgauge.decision.admission.RunResult;
 import org.apricotgauge.decision.admission.Ticket;
 import org.apricotgauge.decision.attempt.AttemptAdmission;
 import org.apricotgauge.decision.attempt.AttemptLedger;
@@ -147,13 +147,13 @@
         Ticket ticket = new Ticket(mNextTicket++, member, priority, deadlineMillis);
         Work work = new Work(exchange, ticket);
         mWorks.put(ticket.id(), work);
-        Offer offer = mQueue.offer(ticket, mClockMillis);
+        AdmissionDecision offer = mQueue.offer(ticket, mClockMillis);
         mOracle.count("offer " + offer.getClass().getSimpleName());
-        if (offer instanceof Offer.Admitted) {
+        if (offer instanceof AdmissionDecision.Admitted) {
             work.mHasSlot = true;
-        } else if (offer instanceof Offer.Refused refused) {
-            drop(work, reasonOf(refused.refusal().reason()));
-        } else if (offer instanceof Offer.Queued queued) {
+        } else if (offer instanceof AdmissionDecision.Rejected refused) {
+            drop(work, reasonOf(refused.rejection().reason()));
+        } else if (offer instanceof AdmissionDecision.Queued queued) {
             queued.displaced().forEach(r -> drop(workOf(r.ticket()), reasonOf(r.reason())));
         }
         mOracle.require(mQueue.inFlight() <= SLOTS, "slots exceeded");
@@ -197,7 +197,7 @@
             mKeys.completed(submission.mKey, answer, mClockMillis);
         }
         respond(work.mExchange, new Outcome.Answered(status), submission.mId);
-        finish(work, sheds ? Result.SHED : Result.ANSWERED);
+        finish(work, sheds ? RunResult.SHED : RunResult.ANSWERED);
     }
 
     void targetBreaks(int pick) {
@@ -234,7 +234,7 @@
         if (work.mExchange.submission().mKey != null) {
             mKeys.outcomeUnknown(work.mExchange.submission().mKey, mClockMillis);
         }
-        finish(work, Result.CANCELLED);
+        finish(work, RunResult.CANCELLED);
     }
 
     private void drop(Work work, NotRunReason reason) {
@@ -242,10 +242,10 @@
             mKeys.notRun(work.mExchange.submission().mKey);
         }
         refuse(work.mExchange, reason);
-        finish(work, Result.CANCELLED);
+        finish(work, RunResult.CANCELLED);
     }
 
-    private void finish(Work work, Result result) {
+    private void finish(Work work, RunResult result) {
         mWorks.remove(work.mTicket.id());
         if (work.mHasSlot) {
             apply(mQueue.release(work.mTicket, result, 20_000, mClockMillis));
@@ -254,9 +254,9 @@
         }
     }
 
-    private void apply(Changes changes) {
+    private void apply(QueueChanges changes) {
         changes.admitted().forEach(ticket -> workOf(ticket).mHasSlot = true);
-        changes.refused().forEach(r -> drop(workOf(r.ticket()), reasonOf(r.reason())));
+        changes.rejected().forEach(r -> drop(workOf(r.ticket()), reasonOf(r.reason())));
     }
 
     private void refuse(Exchange exchange, NotRunReason reason) {
@@ -285,7 +285,7 @@
         return mWorks.get(ticket.id());
     }
 
-    private static NotRunReason reasonOf(RefusalReason reason) {
+    private static NotRunReason reasonOf(RejectionReason reason) {
         return switch (reason) {
             case DEADLINE_TOO_SHORT -> NotRunReason.DEADLINE_TOO_SHORT;
             case DEADLINE_PASSED -> NotRunReason.DEADLINE_PASSED;
--- a/src/test/java/org/apricotgauge/node/RoutingStateTest.java
+++ b/src/test/java/org/apricotgauge/node/RoutingStateTest.java
@@ -24,16 +24,16 @@
     @Test
     void aTargetThatSaidItLeavesTakesNoWorkWhateverTheMembersSay() {
         mState.configurationChanged(1, mWithFirst);
-        assertThat(mState.table().takesWork(FIRST)).isTrue();
+        assertThat(mState.table().acceptsRequests(FIRST)).isTrue();
 
         assertThat(mState.saysItLeaves(FIRST)).isTrue();
         assertThat(mState.saysItLeaves(FIRST)).isFalse();
-        assertThat(mState.table().takesWork(FIRST)).isFalse();
+        assertThat(mState.table().acceptsRequests(FIRST)).isFalse();
         mState.membersChanged(SiteMembers.of(VmView.EMPTY, ""));
         mState.configurationChanged(2, Configuration.EMPTY);
         mState.configurationChanged(3, mWithFirst);
 
-        assertThat(mState.table().takesWork(FIRST)).isFalse();
+        assertThat(mState.table().acceptsRequests(FIRST)).isFalse();
     }
 
     @Test
@@ -43,6 +43,6 @@
 
         mState.configurationChanged(2, mWithFirst.withoutTarget("t_1").withTarget(NEXT));
 
-        assertThat(mState.table().takesWork(NEXT)).isTrue();
+        assertThat(mState.table().acceptsRequests(NEXT)).isTrue();
     }
 }
--- a/src/test/java/org/apricotgauge/target/TargetLimitTest.java
+++ b/src/test/java/org/apricotgauge/target/TargetLimitTest.java
@@ -37,7 +37,7 @@
     void aLimitHoldsUntilAnAnswerComesWithoutIt() {
         mLimit.told(named("2"), true, 0, 100);
         assertThat(mLimit.inForce()).contains(new StartLimit(2));
-        assertThat(mQueue.isPaced(100)).isTrue();
+        assertThat(mQueue.isRateLimited(100)).isTrue();
 
         mLimit.told(named("0.5"), true, 100, 200);
         assertThat(mLimit.inForce()).contains(new StartLimit(0.5));
@@ -45,7 +45,7 @@
 
         mLimit.told(NONE, true, 200, 300);
         assertThat(mLimit.inForce()).isEmpty();
-        assertThat(mQueue.isPaced(300)).isFalse();
+        assertThat(mQueue.isRateLimited(300)).isFalse();
         assertThat(mLimited.getCount()).isZero();
         assertThat(mReported)
                 .containsExactly(
--- a/src/test/java/org/apricotgauge/time/ManualTickerTest.java
+++ b/src/test/java/org/apricotgauge/time/ManualTickerTest.java
@@ -11,14 +11,14 @@
 class ManualTickerTest {
 
     @Property(seed = "1", tries = 100)
-    void advancesByWhatItIsTold(@ForAll @LongRange(min = 0, max = 1_000_000) long millis) {
+    void advancesByGivenMillis(@ForAll @LongRange(min = 0, max = 1_000_000) long millis) {
         ManualTicker ticker = new ManualTicker();
         ticker.advanceMillis(millis);
         assertThat(ticker.millis()).isEqualTo(millis);
     }
 
     @Test
-    void refusesToGoBack() {
+    void rejectsNegativeAdvance() {
         assertThatIllegalArgumentException()
                 .isThrownBy(() -> new ManualTicker().advanceMillis(-1))
                 .withMessageContaining("-1");
--- a/src/test/java/org/apricotgauge/time/ElapsedClockTest.java
+++ b/src/test/java/org/apricotgauge/time/SuspendAwareClockTest.java
@@ -4,14 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-class ElapsedClockTest {
+class SuspendAwareClockTest {
     private final ManualTicker mTicker = new ManualTicker();
     private long mWallOffsetMillis = 1_000_000;
-    private final ElapsedClock mClock =
-            new ElapsedClock(mTicker, () -> mTicker.millis() + mWallOffsetMillis);
+    private final SuspendAwareClock mClock =
+            new SuspendAwareClock(mTicker, () -> mTicker.millis() + mWallOffsetMillis);
 
     @Test
-    void countsASuspensionThatTheSteadyClockDoesNot() {
+    void countsSuspensionThatMonotonicClockMisses() {
         // A VM is suspended for 1.2 s, shorter than what counts as a pause. Its node then told
         // others that its view of the site was 0.1 s old; they took it for theirs and sent work to
         // a target that had left 1.3 s ago.
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void doesNotGoBackWithTheTimeOfDay() {
+    void doesNotGoBackWithWallClock() {
         long before = mClock.millis();
 
         mWallOffsetMillis -= 60_000;
