--- a/src/main/java/org/apricotgauge/decision/gossip/Announcer.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Announcer.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a node says about itself: that it lives, that it is leaving, that it lost the platform. */
+/**
+ * Publishes the items of a node about itself: that it is alive, that it or a target is leaving, and
+ * that it lost or restored its connection to the platform.
+ */
 final class Announcer {
     private static final long LIFETIME_MILLIS = GossipItem.MAX_LIFETIME_MILLIS;
     private static final long WATCH_LIFETIME_MILLIS = 60_000;
@@ -33,21 +36,21 @@
         return mLeavingTargets.contains(LeavingNotice.WHOLE_VM);
     }
 
-    /** Returns whether this run said that the target, or the whole VM, is leaving. */
+    /** Returns whether this run announced that the target, or the whole VM, is leaving. */
     boolean hasAnnouncedLeaving(String target) {
         return mLeavingTargets.contains(target);
     }
 
-    /** Returns what this run says of itself, for a peer that may not know the run yet. */
+    /** Returns the items of this run about itself, for a peer that may not have them yet. */
     List<GossipItem> ownItems() {
-        List<GossipItem> statements = new ArrayList<>();
+        List<GossipItem> items = new ArrayList<>();
         String self = mContext.self().id();
-        statements.add(mItems.store().get(GossipItem.Kind.LIVENESS, self, ""));
+        items.add(mItems.store().get(GossipItem.Kind.LIVENESS, self, ""));
         for (String target : mLeavingTargets) {
-            statements.add(mItems.store().get(GossipItem.Kind.LEAVING, self, target));
+            items.add(mItems.store().get(GossipItem.Kind.LEAVING, self, target));
         }
-        statements.removeIf(item -> item == null);
-        return statements;
+        items.removeIf(item -> item == null);
+        return items;
     }
 
     void announceAlive(long nowMillis) {
@@ -82,16 +85,16 @@
     }
 
     /**
-     * Somebody says something of us that we did not say in this run: takes a later incarnation.
+     * Refutes an item about this node that this run did not publish, by taking a later incarnation.
      *
-     * <p>A leaving node says again that it is leaving, or the new incarnation would take its own
-     * notice back.
+     * <p>A leaving node repeats its leaving notices, since the new incarnation would otherwise
+     * revoke them.
      */
-    void refute(long heardIncarnation, long nowMillis) {
-        if (heardIncarnation >= NodeIdentity.MAX_INCARNATION) {
-            return; // no run of this node said that; there would be no later incarnation left
+    void refute(long refutedIncarnation, long nowMillis) {
+        if (refutedIncarnation >= NodeIdentity.MAX_INCARNATION) {
+            return; // not published by any run of this node; no later incarnation would be left
         }
-        mIncarnation = Math.max(mIncarnation, heardIncarnation) + 1;
+        mIncarnation = Math.max(mIncarnation, refutedIncarnation) + 1;
         announceAlive(nowMillis);
         Set.copyOf(mLeavingTargets).forEach(target -> announceLeaving(target, nowMillis));
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/ConfigFold.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ConfigFold.java
@@ -4,9 +4,9 @@
 import org.apricotgauge.platform.LogRecord;
 
 /**
- * How the published log turns into a configuration: the seam to the fold.
+ * Folds the records of the published log into a configuration history.
  *
- * <p>Histories are immutable. Two nodes that fold the same records get the same digest at each
+ * <p>Histories are immutable. Two nodes that fold the same records have the same digest at each
  * position.
  *
  * @param <H> a folded history
@@ -19,29 +19,29 @@
     /** Returns the log position of the last folded record; 0 for the empty history. */
     long position(H history);
 
-    /** Returns the number of accepted patches, which never falls along a log. */
+    /** Returns the number of accepted patches, which never decreases along a log. */
     long version(H history);
 
-    /** Returns the digest that is chained over the whole history. */
+    /** Returns the digest chained over the whole history. */
     String digest(H history);
 
     /**
      * Folds one record.
      *
-     * @param record the record at {@code position(history) + 1}; a record that is refused as a
-     *     patch still moves the position on
-     * @return the next history, or null if this release cannot read the record (a later release's
-     *     rules); the node then stays where it is
+     * @param record the record at {@code position(history) + 1}; a record that is rejected as a
+     *     patch still advances the position
+     * @return the next history, or null if this release cannot read the record since it needs the
+     *     rules of a later release; the node then stays at its position
      */
     H apply(H history, LogRecord record);
 
-    /** Writes a history as chunks, each under 1 MB. */
+    /** Encodes a history as chunks, each smaller than 1 MB. */
     List<byte[]> encode(H history);
 
     /**
-     * Reads what {@link #encode} wrote.
+     * Decodes the chunks written by {@link #encode}.
      *
-     * @throws RuntimeException if the chunks are not readable
+     * @throws RuntimeException if the chunks can't be decoded
      */
     H decode(List<byte[]> chunks);
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/DigestedRecord.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/DigestedRecord.java
@@ -4,14 +4,14 @@
 import org.apricotgauge.platform.LogRecord;
 
 /**
- * A log record with the digest that its sender's history has after it.
+ * A log record together with the digest of the sender's history after it.
  *
  * @param record the record
  * @param digest the chained digest after the record
  */
 public record DigestedRecord(LogRecord record, String digest) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public DigestedRecord {
         Checks.notNull("record", record);
         Checks.notNull("digest", digest);
--- a/src/main/java/org/apricotgauge/decision/gossip/Dissemination.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Dissemination.java
@@ -5,8 +5,9 @@
 import org.apricotgauge.platform.LogRecord;
 
 /**
- * Brings log records to every node: eager push of small news, pull of the rest, anti-entropy by
- * (position, digest) on every heartbeat, and snapshots in chunks for those far behind.
+ * Replicates log records to every node: eager push of small updates, pull of larger ones,
+ * anti-entropy by position and digest on every heartbeat, and chunked snapshots for nodes far
+ * behind.
  *
  * @param <H> a folded history
  */
@@ -16,11 +17,11 @@
     private static final long PULL_TIMEOUT_MILLIS = 500;
     private static final long CHUNK_TIMEOUT_MILLIS = 3_000;
 
-    /** Told what changed. */
+    /** Receives changes of the history. */
     interface Listener {
         void onHistoryAdvanced();
 
-        /** All peers but the source are to hear what this node now holds. */
+        /** Announces the local summary to all peers except the source. */
         void announce(Link source);
     }
 
@@ -33,12 +34,15 @@
     private SnapshotFetch mFetch;
 
     Dissemination(
-            GossipContext context, PeerTransport<H> port, ConfigFold<H> fold, Listener listener) {
+            GossipContext context,
+            PeerTransport<H> transport,
+            ConfigFold<H> fold,
+            Listener listener) {
         mContext = context;
-        mTransport = port;
+        mTransport = transport;
         mReplica = new Replica<>(fold);
         mListener = listener;
-        mSnapshotServer = new SnapshotServer<>(port, mReplica);
+        mSnapshotServer = new SnapshotServer<>(transport, mReplica);
     }
 
     Replica<H> replica() {
@@ -49,7 +53,7 @@
         return mSnapshotServer;
     }
 
-    /** Takes in what a peer says that it holds. */
+    /** Handles a summary received from a peer. */
     void onSummary(Link link, StateSummary summary, long nowMillis) {
         link.mSummary = summary;
         switch (mReplica.relation(summary.position(), summary.digest())) {
@@ -92,25 +96,25 @@
     }
 
     /**
-     * Takes in records from the platform.
+     * Applies records from the platform.
      *
-     * @return whether all were known or applied
+     * @return whether all records were known or applied
      */
     boolean onPublished(List<LogRecord> records) {
         List<DigestedRecord> applied = new ArrayList<>();
-        boolean whole = true;
+        boolean isComplete = true;
         for (LogRecord record : records) {
-            Replica.ApplyResult verdict = mReplica.offer(record, null);
-            if (verdict == Replica.ApplyResult.APPLIED) {
+            Replica.ApplyResult result = mReplica.offer(record, null);
+            if (result == Replica.ApplyResult.APPLIED) {
                 applied.add(new DigestedRecord(record, mReplica.digest()));
-            } else if (verdict != Replica.ApplyResult.KNOWN) {
-                countRejection(verdict);
-                whole = false;
+            } else if (result != Replica.ApplyResult.KNOWN) {
+                countRejection(result);
+                isComplete = false;
                 break;
             }
         }
         onApplied(applied, null);
-        return whole;
+        return isComplete;
     }
 
     void onChunk(Link link, PeerMessage.SnapshotChunk chunk, long nowMillis) {
@@ -119,8 +123,8 @@
             mFetch = null;
             return;
         }
-        boolean starts = chunk.chunk() == 0;
-        if (starts && (mFetch == null || mFetch.mLink == link.mId)) {
+        boolean isFirst = chunk.chunk() == 0;
+        if (isFirst && (mFetch == null || mFetch.mLink == link.mId)) {
             mFetch = new SnapshotFetch(link.mId, chunk);
         }
         if (mFetch == null || !mFetch.accept(link.mId, chunk)) {
@@ -136,7 +140,11 @@
         }
     }
 
-    /** Takes over a snapshot that was read elsewhere; null if it could not be read. */
+    /**
+     * Adopts a decoded snapshot; null if it could not be decoded.
+     *
+     * @param digest the expected digest, or null for a snapshot requested from a peer
+     */
     void onDecoded(H snapshot, String digest) {
         String expected = digest == null && mFetch != null ? mFetch.mDigest : digest;
         mFetch = null;
@@ -192,8 +200,8 @@
 
     private boolean applyRecord(
             Link link, DigestedRecord entry, List<DigestedRecord> applied, long nowMillis) {
-        Replica.ApplyResult verdict = mReplica.offer(entry.record(), entry.digest());
-        switch (verdict) {
+        Replica.ApplyResult result = mReplica.offer(entry.record(), entry.digest());
+        switch (result) {
             case APPLIED -> applied.add(entry);
             case KNOWN -> {
                 return true;
@@ -207,7 +215,7 @@
                 return false;
             }
             default -> {
-                countRejection(verdict);
+                countRejection(result);
                 return false;
             }
         }
@@ -239,18 +247,19 @@
     }
 
     private void onConflict(Link link) {
-        // Somebody holds another body at a position we have. Which of the two is right cannot be
-        // told from here; ours is in force and stays, and an operator has to see it.
+        // The peer has a different body at a position that is already folded. This node can't
+        // decide which of the two is right; the local one stays in force, and the event is logged
+        // for operators.
         if (!link.mHistoryConflict) {
             mContext.count(GossipEvent.HISTORY_CONFLICT);
         }
         link.mHistoryConflict = true;
     }
 
-    private void countRejection(Replica.ApplyResult verdict) {
-        if (verdict == Replica.ApplyResult.CONFLICT) {
+    private void countRejection(Replica.ApplyResult result) {
+        if (result == Replica.ApplyResult.CONFLICT) {
             mContext.count(GossipEvent.HISTORY_CONFLICT);
-        } else if (verdict == Replica.ApplyResult.UNREADABLE) {
+        } else if (result == Replica.ApplyResult.UNREADABLE) {
             mContext.count(GossipEvent.RECORD_UNREADABLE);
         }
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/GossipContext.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/GossipContext.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.apricotgauge.model.Vm;
 
-/** What the parts of one node's state machine share. */
+/** State shared by the components of one node's state machine. */
 record GossipContext(
         Vm self,
         GossipSettings settings,
@@ -18,12 +18,12 @@
         events.accept(event);
     }
 
-    /** Returns one of the choices, or null if there are none. */
+    /** Returns a random choice, or null if there are none. */
     <T> T pick(List<T> choices) {
         return choices.isEmpty() ? null : choices.get(random.nextInt(choices.size()));
     }
 
-    /** Returns at most {@code count} different choices. */
+    /** Returns at most {@code count} distinct choices. */
     <T> List<T> sample(List<T> choices, int count) {
         if (choices.size() <= count) {
             return choices;
--- a/src/main/java/org/apricotgauge/decision/gossip/GossipEvent.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/GossipEvent.java
@@ -1,36 +1,36 @@
 package org.apricotgauge.decision.gossip;
 
-/** What the control plane counts; each name is also the name of a counter. */
+/** Events that the control plane counts; each name is also the name of a counter. */
 public enum GossipEvent {
-    /** A body or digest at a known position differs from ours; ours was kept. */
+    /** A body or digest at a known position differs from the local one, which was kept. */
     HISTORY_CONFLICT(true),
-    /** A record needs rules that this release does not know; the node stays where it is. */
+    /** A record needs rules that this release doesn't support; the node stays at its position. */
     RECORD_UNREADABLE(true),
-    /** The platform or a peer showed an older state than ours; ours was kept. */
+    /** The platform returned an older state than the local one, which was kept. */
     STALE_PLATFORM(false),
-    /** A snapshot could not be read or did not match its digest. */
+    /** A snapshot could not be decoded or did not match its digest. */
     SNAPSHOT_REFUSED(true),
     /** A snapshot was adopted. */
     SNAPSHOT_ADOPTED(false),
-    /** A link had no heartbeat within the bound and was closed. */
+    /** A link received no frame within the timeout and was closed. */
     LINK_SILENT(false),
-    /** A dial failed or got no welcome in time. */
+    /** A dial failed or its handshake timed out. */
     DIAL_FAILED(false),
-    /** A peer refused the link because it has enough. */
+    /** A peer rejected the link because it has enough links. */
     DIAL_REFUSED(false),
-    /** A peer speaks no common protocol version, or is of another site. */
+    /** A peer has no protocol version in common, or belongs to another site. */
     INCOMPATIBLE_PEER(true),
-    /** A peer that we cannot reach is reached by others: the path is at fault, not the peer. */
+    /** Other nodes reach a peer that this node can't reach: the path is at fault, not the peer. */
     PATH_FAULT(false),
-    /** Nobody whom we asked reaches a peer: it is suspected. */
+    /** No node that responded to a probe request reached a peer; the peer is suspected. */
     SUSPICION_RAISED(false),
-    /** We were suspected, and refuted it. */
+    /** This node was suspected and refuted it. */
     SUSPICION_REFUTED(false),
-    /** The process had been paused and does not act on old state until it is confirmed. */
+    /** The process resumed from a pause; it doesn't act on cached state until it is confirmed. */
     WOKE_FROM_PAUSE(true),
-    /** A list of VMs took off too many at once; the removals were not believed. */
+    /** A VM list removed too many VMs at once; the removals were ignored. */
     IMPLAUSIBLE_VM_LIST(true),
-    /** A gossip item was dropped because of a bound. */
+    /** A gossip item was dropped because of a limit. */
     ITEM_DROPPED(false);
 
     private final boolean mLogged;
@@ -39,7 +39,7 @@
         mLogged = logged;
     }
 
-    /** Returns whether an operator should see a log line for it. */
+    /** Returns whether the event is logged for operators. */
     public boolean logged() {
         return mLogged;
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/GossipItem.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/GossipItem.java
@@ -3,41 +3,42 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * A small fact that one node tells the fleet; the latest sequence of a (kind, node, key) wins.
+ * A small piece of state that one node publishes to the fleet; of the items with the same kind,
+ * node and key, the one with the highest sequence wins.
  *
- * @param kind what the fact is about
- * @param node the VM it is about, and, but for an accusation, from
- * @param key tells several facts of one node apart; may be empty
- * @param sequence rises with each newer fact of the same kind, node and key
- * @param lifetimeMillis how long the fact still holds, from now; falls from hop to hop
- * @param payload its content, at most {@link #MAX_PAYLOAD_BYTES}
+ * @param kind the kind of item
+ * @param node the VM the item is about, which is also its publisher unless it is a suspicion
+ * @param key distinguishes several items of one kind and node; may be empty
+ * @param sequence increases with each newer item of the same kind, node and key
+ * @param lifetimeMillis remaining lifetime in milliseconds; decreases from hop to hop
+ * @param payload the content, at most {@link #MAX_PAYLOAD_BYTES} bytes
  */
 public record GossipItem(
         Kind kind, String node, String key, long sequence, long lifetimeMillis, byte[] payload) {
-    /** Largest content, in bytes. */
+    /** Maximum payload size, in bytes. */
     public static final int MAX_PAYLOAD_BYTES = 512;
 
-    /** Highest sequence. */
+    /** Maximum sequence. */
     public static final long MAX_SEQUENCE = Long.MAX_VALUE / 2;
 
-    /** Longest lifetime, in milliseconds. */
+    /** Maximum lifetime, in milliseconds. */
     public static final long MAX_LIFETIME_MILLIS = 600_000;
 
     private static final int MAX_KEY_CHARS = 128;
 
-    /** What a fact is about. */
+    /** The kind of an item. */
     public enum Kind {
-        /** A node lives (even sequence) or is suspected (odd sequence). */
+        /** A node is alive (even sequence) or suspected (odd sequence). */
         LIVENESS,
-        /** A VM or one of its targets is leaving, told by its own node. */
+        /** A VM or one of its targets is leaving, as announced by its own node. */
         LEAVING,
-        /** A watcher of the platform lost it, or has it again. */
+        /** A watcher lost its connection to the platform, or restored it. */
         WATCH,
-        /** Opaque evidence of detection. */
+        /** Evidence for outlier detection, opaque to this package. */
         EVIDENCE
     }
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public GossipItem {
         Checks.notNull("kind", kind);
         Checks.id("node", node);
--- a/src/main/java/org/apricotgauge/decision/gossip/GossipListener.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/GossipListener.java
@@ -1,24 +1,24 @@
 package org.apricotgauge.decision.gossip;
 
 /**
- * Is told what changed, on the thread that drives the node.
+ * Receives the changes of a {@link GossipNode}, on the thread that drives the node.
  *
  * @param <H> a folded history
  */
 public interface GossipListener<H> {
 
-    /** A later history is in force. */
+    /** Called when a later history is in force. */
     void onHistory(H history);
 
-    /** What is known of the VMs changed. */
+    /** Called when the view of the VMs changed. */
     void onView(VmView view);
 
-    /** A node told that it or a target is leaving. */
+    /** Called when a node announced that its VM or one of its targets is leaving. */
     void onLeaving(LeavingNotice notice);
 
-    /** A piece of evidence came in; see {@link GossipItem.Kind#EVIDENCE}. */
+    /** Called when an item of kind {@link GossipItem.Kind#EVIDENCE} was received. */
     void onEvidence(GossipItem item);
 
-    /** Something happened that is counted. */
+    /** Called for each occurrence of an event that is counted. */
     void onEvent(GossipEvent event);
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/GossipNode.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/GossipNode.java
@@ -10,22 +10,22 @@
 import org.apricotgauge.platform.VmPage;
 
 /**
- * One node's part in the control plane, as a state machine without I/O.
+ * The state machine of one node in the gossip protocol, without I/O.
  *
  * <pre>{@code
  * GossipNode<ConfigHistory> node =
- *         new GossipNode<>(identity, GossipSettings.DEFAULT, fold, port, listener, seed, now);
+ *         new GossipNode<>(identity, GossipSettings.DEFAULT, fold, transport, listener, seed, now);
  * node.tick(now);
  * node.onMessage(link, message, now);
  * }</pre>
  *
- * <p>Not safe for use by several threads; whoever drives it hands results over by atomic reference.
- * Times are milliseconds of one monotonic clock.
+ * <p>Not thread-safe; the caller publishes results to other threads by atomic references. Times are
+ * milliseconds of one monotonic clock.
  *
  * @param <H> a folded history
  */
 public final class GossipNode<H> {
-    /** The protocol version of this release. */
+    /** The protocol version that this release supports. */
     public static final int PROTOCOL = 1;
 
     private static final long CONFIRMATION_TIMEOUT_MILLIS = 5_000;
@@ -46,28 +46,31 @@
     private long mHighestKnownPosition;
     private long mResumeSequence;
 
-    /** Creates a node that knows nothing yet. */
+    /** Creates a node with an empty state. */
     public GossipNode(
             NodeIdentity identity,
             GossipSettings settings,
             ConfigFold<H> fold,
-            PeerTransport<H> port,
+            PeerTransport<H> transport,
             GossipListener<H> listener,
             long seed,
             long nowMillis) {
         mIdentity = Checks.notNull("identity", identity);
-        mTransport = Checks.notNull("port", port);
+        mTransport = Checks.notNull("transport", transport);
         mListener = Checks.notNull("listener", listener);
         SplittableRandom random = new SplittableRandom(seed);
         mContext =
                 new GossipContext(
                         identity.vm(), settings, new LinkTable(), random, listener::onEvent);
-        LocalHealthMultiplier health = new LocalHealthMultiplier();
-        mDissemination = new Dissemination<>(mContext, port, fold, new DisseminationListener());
-        mVms = new VmSync(mContext, port, this::onVmLines, this::announceSummary);
-        mItems = new ItemGossip(mContext, port, this::onItem, nowMillis);
+        LocalHealthMultiplier healthMultiplier = new LocalHealthMultiplier();
+        mDissemination =
+                new Dissemination<>(mContext, transport, fold, new DisseminationListener());
+        mVms = new VmSync(mContext, transport, this::onVmLines, this::announceSummary);
+        mItems = new ItemGossip(mContext, transport, this::onItem, nowMillis);
         mAnnouncer = new Announcer(mContext, mItems, identity.incarnation());
-        mFailureDetector = new PeerFailureDetector(mContext, port, health, this::publishSuspicion);
+        mFailureDetector =
+                new PeerFailureDetector(
+                        mContext, transport, healthMultiplier, this::publishSuspicion);
         mMembership =
                 new MembershipView(
                         mContext, mItems, mFailureDetector, mAnnouncer, new MembershipListener());
@@ -75,9 +78,9 @@
                 new LinkManager(
                         identity,
                         mContext,
-                        port,
+                        transport,
                         mAnnouncer,
-                        health,
+                        healthMultiplier,
                         mFailureDetector,
                         mMembership::view,
                         new LinkListener());
@@ -92,12 +95,12 @@
         return mDissemination.replica().history();
     }
 
-    /** Returns what is known of the VMs. */
+    /** Returns the view of the VMs. */
     public VmView view() {
         return mMembership.view();
     }
 
-    /** Returns the guard that tells whether old state may be acted on. */
+    /** Returns the gate that decides whether cached state may be acted on after a pause. */
     public StalenessGate stalenessGate() {
         return mStalenessGate;
     }
@@ -107,59 +110,59 @@
         return mDissemination.replica().position();
     }
 
-    /** Returns the revision of the list of VMs. */
+    /** Returns the revision of the VM list. */
     public long vmRevision() {
         return mVms.revision();
     }
 
-    /** Returns what this node holds, in one line. */
+    /** Returns a summary of the state of this node. */
     public StateSummary summary() {
         Replica<H> replica = mDissemination.replica();
         return new StateSummary(
                 replica.position(), replica.digest(), mVms.revision(), mItems.store().hash());
     }
 
-    /** Returns the highest log position that any peer said it has. */
+    /** Returns the highest log position that any peer has reported. */
     public long highestKnownPosition() {
         return mHighestKnownPosition;
     }
 
-    /** Returns from how many failure domains a peer has told what it holds. */
+    /** Returns the number of failure domains from which a peer has sent its summary. */
     public int respondingDomains() {
         return mRespondingDomains.size();
     }
 
-    /** Returns in how many failure domains, the own one too, other nodes are known. */
+    /** Returns the number of failure domains, including the local one, with other known nodes. */
     public int knownDomains() {
         return mMembership.knownDomains();
     }
 
-    /** Returns how many links to peers are established. */
+    /** Returns the number of established links to peers. */
     public int establishedLinks() {
         return mContext.links().count(Link::established);
     }
 
-    /** Returns whether the node said that it lost the platform, and did not take it back. */
+    /** Returns whether the latest report of the node is that it lost the platform. */
     public boolean lostPlatform(String vm) {
         return Announcer.reportsPlatformLost(mItems.store().get(GossipItem.Kind.WATCH, vm, ""));
     }
 
-    /** A peer dialled us. */
+    /** Called when a link from a peer was accepted. */
     public void onAccepted(long link, long nowMillis) {
         mLinks.onAccepted(link, nowMillis);
     }
 
-    /** A dial got through. */
+    /** Called when a dial succeeded. */
     public void onConnected(long link) {
         mLinks.onConnected(link);
     }
 
-    /** A link ended, or a dial failed. */
+    /** Called when a link was closed, or a dial failed. */
     public void onClosed(long link, long nowMillis) {
         mLinks.onClosed(link, nowMillis);
     }
 
-    /** A message came in. */
+    /** Called when a message was received. */
     public void onMessage(long id, PeerMessage message, long nowMillis) {
         Link link = mContext.links().get(id);
         if (link == null) {
@@ -175,20 +178,20 @@
         }
     }
 
-    /** A snapshot was encoded. */
+    /** Called when a snapshot was encoded. */
     public void onSnapshotEncoded(List<byte[]> chunks, long nowMillis) {
         mDissemination.snapshotServer().onEncoded(chunks, nowMillis);
     }
 
-    /** A snapshot from a peer was read; null if it could not be. */
+    /** Called when a snapshot from a peer was decoded; null if it could not be. */
     public void onSnapshotDecoded(H snapshot) {
         mDissemination.onDecoded(snapshot, null);
     }
 
     /**
-     * The platform showed a part of the log.
+     * Applies a page of the platform's log.
      *
-     * @return whether it was as new as what we have, and of the same history
+     * @return whether the page is at least as recent as the local history, and consistent with it
      */
     public boolean onPublished(LogPage page) {
         if (page.head() < position()) {
@@ -198,47 +201,47 @@
         return mDissemination.onPublished(page.entries());
     }
 
-    /** The platform showed a snapshot; it is adopted if it is ahead of us. */
+    /** Adopts a snapshot from the platform if it is ahead of the local history. */
     public void onPublishedSnapshot(H snapshot, String digest) {
         mDissemination.onDecoded(snapshot, digest);
     }
 
     /**
-     * The platform showed a part of the list of VMs.
+     * Applies a page of the platform's VM list.
      *
-     * @return whether it was as new as what we have
+     * @return whether the page is at least as recent as the local list
      */
     public boolean onPublishedVms(long sinceRevision, VmPage page, long nowMillis) {
         return mVms.onPublished(sinceRevision, page, nowMillis);
     }
 
-    /** The platform answered a call that was put after the last waking. */
+    /** Called when the platform responded to a request sent after the last pause. */
     public void onPlatformConfirmed() {
         mStalenessGate.onConfirmed();
     }
 
-    /** Tells the fleet that a target on this VM is leaving, or the whole VM. */
+    /** Announces to the fleet that a target on this VM, or the whole VM, is leaving. */
     public void announceLeaving(String target, long nowMillis) {
         mAnnouncer.announceLeaving(Checks.notNull("target", target), nowMillis);
     }
 
-    /** Tells the fleet that this watcher lost the platform, or has it again. */
+    /** Announces to the fleet that this watcher lost or restored its connection to the platform. */
     public void announcePlatformState(boolean lost, long nowMillis) {
         mAnnouncer.announcePlatformState(lost, nowMillis);
     }
 
-    /** Tells the fleet a piece of evidence; a later sequence of the same key replaces it. */
+    /** Publishes an evidence item; a later sequence of the same key replaces it. */
     public void publishEvidence(GossipItem evidence, long nowMillis) {
         mItems.publish(evidence, nowMillis);
     }
 
-    /** Time goes on; called about ten times a second. */
+    /** Advances timers; called about ten times per second. */
     public void tick(long nowMillis) {
         if (mStalenessGate.onTick(nowMillis)) {
             mContext.count(GossipEvent.WOKE_FROM_PAUSE);
             mItems.requireFullSync();
-            // Frames that wait in the sockets were written before we woke; only the answer to a
-            // heartbeat from now on counts as a confirmation.
+            // Frames buffered in the sockets were written during the pause; only the response to a
+            // heartbeat sent from now on counts as a confirmation.
             mResumeSequence = mLinks.lastPingSequence() + 1;
             mLinks.onResumed(nowMillis);
         }
@@ -303,10 +306,10 @@
     }
 
     private void confirmState(PeerMessage.Ack ack) {
-        boolean itemsTaken =
+        boolean hasItems =
                 ack.summary().itemsHash() == mItems.store().hash() || mItems.fullSyncReceived();
-        boolean asked = ack.sequence() >= mResumeSequence;
-        if (asked && itemsTaken && ack.summary().position() <= position()) {
+        boolean isSentAfterResume = ack.sequence() >= mResumeSequence;
+        if (isSentAfterResume && hasItems && ack.summary().position() <= position()) {
             mStalenessGate.onConfirmed();
         }
     }
@@ -317,13 +320,13 @@
             case LEAVING -> mMembership.onLeaving(item, nowMillis);
             case EVIDENCE -> mListener.onEvidence(item);
             default -> {
-                return; // watch items are read where the watchers are chosen
+                return; // the watcher election reads the watch items
             }
         }
     }
 
-    private void onVmLines(List<VmLine> news, List<String> forgotten) {
-        mMembership.onVmLines(news, forgotten);
+    private void onVmLines(List<VmLine> changed, List<String> evicted) {
+        mMembership.onVmLines(changed, evicted);
     }
 
     private void announceSummary(Link source) {
@@ -337,7 +340,7 @@
 
     private void publishSuspicion(Vm vm, long nowMillis) {
         long sequence = 2 * view().incarnation(vm.id()) + 1;
-        GossipItem accusation =
+        GossipItem suspicion =
                 new GossipItem(
                         GossipItem.Kind.LIVENESS,
                         vm.id(),
@@ -345,10 +348,9 @@
                         sequence,
                         GossipItem.MAX_LIFETIME_MILLIS,
                         new byte[0]);
-        mItems.publish(accusation, nowMillis);
+        mItems.publish(suspicion, nowMillis);
     }
 
-    /** What the dissemination tells. */
     private final class DisseminationListener implements Dissemination.Listener {
         @Override
         public void onHistoryAdvanced() {
@@ -361,7 +363,6 @@
         }
     }
 
-    /** What the merged view tells. */
     private final class MembershipListener implements MembershipView.Listener {
         @Override
         public void onView(VmView view) {
@@ -374,7 +375,6 @@
         }
     }
 
-    /** What the links tell. */
     private final class LinkListener implements LinkManager.Listener {
         @Override
         public StateSummary summary() {
@@ -400,9 +400,9 @@
         }
 
         /**
-         * Tells the peer of our run, and of a suspicion against itself that we hold. Without the
-         * first, a node that was restarted would pass for dead or leaving until the next full
-         * exchange; without the second, one that was wrongly accused could not refute it.
+         * Sends the items of this run, and a stored suspicion of the peer if there is one. Without
+         * the former, a restarted node would appear dead or leaving until the next full exchange;
+         * without the latter, a wrongly suspected peer could not refute the suspicion.
          */
         private void sendIntroduction(Link link) {
             List<GossipItem> items = mAnnouncer.ownItems();
--- a/src/main/java/org/apricotgauge/decision/gossip/GossipSettings.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/GossipSettings.java
@@ -3,17 +3,17 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Bounds and times of the gossip.
+ * Limits and timeouts of the gossip protocol.
  *
- * @param ownDomainLinks links dialled within the own failure domain
- * @param otherDomainLinks links dialled into other failure domains
- * @param maxInboundLinks most links accepted
- * @param heartbeatMillis time between two heartbeats of a link
- * @param linkTimeoutMillis a link without any frame for this long is closed and dialled anew
- * @param dialTimeoutMillis time in which a dialled peer must have welcomed us
- * @param rewireMillis mean time after which one dialled link is exchanged for another
- * @param suspicionTimeoutMillis a suspicion that stands this long counts as unreachable
- * @param pauseThresholdMillis a gap between two ticks that counts as a pause of the process
+ * @param ownDomainLinks number of links dialled within the local failure domain
+ * @param otherDomainLinks number of links dialled into other failure domains
+ * @param maxInboundLinks maximum number of accepted links
+ * @param heartbeatMillis interval between two heartbeats on a link
+ * @param linkTimeoutMillis time without any frame after which a link is closed and dialled again
+ * @param dialTimeoutMillis time within which a dialled peer must complete the handshake
+ * @param rewireMillis mean interval after which one dialled link is replaced by another
+ * @param suspicionTimeoutMillis time after which an unrefuted suspicion marks a peer as unreachable
+ * @param pauseThresholdMillis gap between two ticks above which the process is considered paused
  */
 public record GossipSettings(
         int ownDomainLinks,
@@ -25,23 +25,23 @@
         long rewireMillis,
         long suspicionTimeoutMillis,
         long pauseThresholdMillis) {
-    /** What a node uses unless told otherwise. */
+    /** The default settings. */
     public static final GossipSettings DEFAULT =
             new GossipSettings(2, 2, 16, 1_000, 3_500, 2_000, 30_000, 5_000, 2_000);
 
     private static final int MAX_LINKS = 1_000;
     private static final long MAX_MILLIS = 3_600_000;
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public GossipSettings {
         Checks.inRange("ownDomainLinks", ownDomainLinks, 0, MAX_LINKS);
         Checks.inRange("otherDomainLinks", otherDomainLinks, 0, MAX_LINKS);
         Checks.inRange("maxInboundLinks", maxInboundLinks, 1, MAX_LINKS);
         Checks.inRange("heartbeatMillis", heartbeatMillis, 1, MAX_MILLIS);
-        Checks.inRange("silenceMillis", linkTimeoutMillis, heartbeatMillis + 1, MAX_MILLIS);
+        Checks.inRange("linkTimeoutMillis", linkTimeoutMillis, heartbeatMillis + 1, MAX_MILLIS);
         Checks.inRange("dialTimeoutMillis", dialTimeoutMillis, 1, MAX_MILLIS);
         Checks.inRange("rewireMillis", rewireMillis, 1, MAX_MILLIS);
-        Checks.inRange("suspicionMillis", suspicionTimeoutMillis, 1, MAX_MILLIS);
-        Checks.inRange("pauseMillis", pauseThresholdMillis, 1, MAX_MILLIS);
+        Checks.inRange("suspicionTimeoutMillis", suspicionTimeoutMillis, 1, MAX_MILLIS);
+        Checks.inRange("pauseThresholdMillis", pauseThresholdMillis, 1, MAX_MILLIS);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/ItemGossip.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ItemGossip.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.apricotgauge.decision.TokenBucket;
 
-/** Floods small items along all links, and compares stores by hash to mend what was missed. */
+/** Floods items along all links, and compares stores by hash to repair missed items. */
 final class ItemGossip {
     private static final long SYNC_INTERVAL_MILLIS = 30_000;
     private static final int ITEM_OVERHEAD_BYTES = 96;
@@ -12,7 +12,7 @@
     private static final double EVIDENCE_BURST_BYTES = 16 << 10;
     private static final int MAX_ITEMS_PER_MESSAGE = 1_000;
 
-    /** Told of each item that is news. */
+    /** Receives each newly accepted item. */
     interface Listener {
         void onItem(GossipItem item, long nowMillis);
     }
@@ -25,9 +25,10 @@
     private long mNextSyncMillis = Long.MIN_VALUE;
     private boolean mFullSyncReceived;
 
-    ItemGossip(GossipContext context, PeerTransport<?> port, Listener listener, long nowMillis) {
+    ItemGossip(
+            GossipContext context, PeerTransport<?> transport, Listener listener, long nowMillis) {
         mContext = context;
-        mTransport = port;
+        mTransport = transport;
         mListener = listener;
         mEvidenceBudget =
                 new TokenBucket(EVIDENCE_BYTES_PER_SECOND, EVIDENCE_BURST_BYTES, nowMillis);
@@ -38,14 +39,14 @@
     }
 
     /**
-     * Returns whether a full exchange has come in since the start or the last {@link
+     * Returns whether a full exchange was received since the start or the last {@link
      * #requireFullSync}.
      */
     boolean fullSyncReceived() {
         return mFullSyncReceived;
     }
 
-    /** Makes the next difference of hashes ask for a full exchange at once. */
+    /** Requests a full exchange without delay at the next difference of hashes. */
     void requireFullSync() {
         mFullSyncReceived = false;
         mNextSyncMillis = Long.MIN_VALUE;
@@ -61,8 +62,8 @@
     }
 
     void onSummary(Link link, StateSummary summary, long nowMillis) {
-        boolean due = nowMillis >= mNextSyncMillis;
-        if (due && link.established() && summary.itemsHash() != mStore.hash()) {
+        boolean isDue = nowMillis >= mNextSyncMillis;
+        if (isDue && link.established() && summary.itemsHash() != mStore.hash()) {
             mNextSyncMillis = nowMillis + SYNC_INTERVAL_MILLIS;
             mTransport.send(link.mId, new PeerMessage.ItemsRequest());
         }
@@ -87,11 +88,11 @@
     private void acceptItems(List<GossipItem> items, Link source, long nowMillis) {
         List<GossipItem> forward = new ArrayList<>();
         for (GossipItem item : items) {
-            ItemStore.OfferResult verdict = mStore.offer(item, nowMillis);
-            if (verdict == ItemStore.OfferResult.DROPPED) {
+            ItemStore.OfferResult result = mStore.offer(item, nowMillis);
+            if (result == ItemStore.OfferResult.DROPPED) {
                 mContext.count(GossipEvent.ITEM_DROPPED);
             }
-            if (verdict != ItemStore.OfferResult.ACCEPTED) {
+            if (result != ItemStore.OfferResult.ACCEPTED) {
                 continue;
             }
             if (isWithinBudget(item, nowMillis)) {
@@ -107,8 +108,8 @@
     }
 
     private boolean isWithinBudget(GossipItem item, long nowMillis) {
-        // Liveness and leaving are bounded by how often VMs come and go; evidence is bounded only
-        // here. With 8 links one byte taken in costs up to 15 on the wire.
+        // Liveness and leaving items are bounded by the rate at which VMs start and stop; evidence
+        // is bounded only here. With 8 links, one accepted byte costs up to 15 bytes on the wire.
         return item.kind() != GossipItem.Kind.EVIDENCE
                 || mEvidenceBudget.tryConsume(
                         item.payload().length + ITEM_OVERHEAD_BYTES, nowMillis);
--- a/src/main/java/org/apricotgauge/decision/gossip/ItemPayloads.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ItemPayloads.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.apricotgauge.model.Vm;
 
-/** Payloads of liveness and leaving items. */
+/** Encodes and decodes the payloads of liveness and leaving items. */
 final class ItemPayloads {
     private static final ObjectMapper JSON =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Returns the VM, or null if the payload is not one. */
+    /** Returns the VM, or null if the payload can't be decoded. */
     static Vm decodeVm(byte[] payload) {
         try {
             return JSON.readValue(payload, Vm.class);
--- a/src/main/java/org/apricotgauge/decision/gossip/ItemStore.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ItemStore.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The gossip items that hold at present: the latest of each (kind, node, key), bounded. */
+/** A bounded store of unexpired gossip items: the latest of each kind, node and key. */
 final class ItemStore {
     static final int MAX_ITEMS = 8_192;
     static final int MAX_EVIDENCE_ITEMS_PER_NODE = 64;
@@ -21,14 +21,14 @@
     private final Map<String, Integer> mEvidenceCountByNode = new HashMap<>();
     private long mHash;
 
-    /** What came of an offer. */
+    /** Result of {@link #offer}. */
     enum OfferResult {
         ACCEPTED,
         KNOWN,
         DROPPED
     }
 
-    /** Takes an item in if it is the latest of its key and there is room. */
+    /** Stores an item if it is the latest of its kind, node and key and there is capacity. */
     OfferResult offer(GossipItem item, long nowMillis) {
         Key key = new Key(item.kind(), item.node(), item.key());
         StoredItem old = mItems.get(key);
@@ -50,31 +50,31 @@
         return OfferResult.ACCEPTED;
     }
 
-    /** Drops what has expired. */
+    /** Removes expired items. */
     void expire(long nowMillis) {
-        Iterator<StoredItem> held = mItems.values().iterator();
-        while (held.hasNext()) {
-            StoredItem next = held.next();
+        Iterator<StoredItem> iterator = mItems.values().iterator();
+        while (iterator.hasNext()) {
+            StoredItem next = iterator.next();
             if (next.deadlineMillis() <= nowMillis) {
-                held.remove();
+                iterator.remove();
                 onItemRemoved(next.item());
             }
         }
     }
 
-    /** Returns all items with what is left of their lifetimes. */
+    /** Returns all unexpired items with their remaining lifetimes. */
     List<GossipItem> all(long nowMillis) {
         List<GossipItem> items = new ArrayList<>(mItems.size());
-        for (StoredItem held : mItems.values()) {
-            long left = held.deadlineMillis() - nowMillis;
-            if (left > 0) {
-                items.add(held.item().withLifetimeMillis(left));
+        for (StoredItem stored : mItems.values()) {
+            long remainingMillis = stored.deadlineMillis() - nowMillis;
+            if (remainingMillis > 0) {
+                items.add(stored.item().withLifetimeMillis(remainingMillis));
             }
         }
         return items;
     }
 
-    /** Returns the notices of leaving that hold. */
+    /** Returns the items of kind {@link GossipItem.Kind#LEAVING}. */
     List<GossipItem> leavingItems() {
         return mItems.values().stream()
                 .map(StoredItem::item)
@@ -82,13 +82,16 @@
                 .toList();
     }
 
-    /** Returns the latest item of a key, or null. */
+    /** Returns the latest item of a kind, node and key, or null. */
     GossipItem get(GossipItem.Kind kind, String node, String key) {
-        StoredItem held = mItems.get(new Key(kind, node, key));
-        return held == null ? null : held.item();
+        StoredItem stored = mItems.get(new Key(kind, node, key));
+        return stored == null ? null : stored.item();
     }
 
-    /** Returns a hash over all but evidence; two stores with the same items have the same one. */
+    /**
+     * Returns a hash over all items other than evidence; it is equal for two stores with the same
+     * items.
+     */
     long hash() {
         return mHash;
     }
@@ -114,8 +117,8 @@
     }
 
     private static long hashOf(GossipItem item) {
-        // Evidence changes many times a second; were it hashed, no two stores would ever agree and
-        // each heartbeat would start a full exchange.
+        // Evidence changes many times per second; if it were hashed, no two stores would ever agree
+        // and each heartbeat would start a full exchange.
         if (item.kind() == GossipItem.Kind.EVIDENCE) {
             return 0;
         }
--- a/src/main/java/org/apricotgauge/decision/gossip/KnownVm.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/KnownVm.java
@@ -5,13 +5,14 @@
 import org.pcollections.PMap;
 
 /**
- * All that the sources say of one VM.
+ * The merged state of one VM from all sources.
  *
  * @param vm the VM
- * @param platformLeaving whether the platform's list says it is leaving or took it off
- * @param incarnation latest known run of its node; 0 if its node was never heard of
- * @param noticeIncarnations latest incarnation whose notice named the target, or the whole VM
- * @param unreachable whether a suspicion of it has stood for too long
+ * @param platformLeaving whether the platform lists it as leaving or removed it from the list
+ * @param incarnation latest known incarnation of its node; 0 if its node was never observed
+ * @param noticeIncarnations latest incarnation with a leaving notice, by target; the empty ID is
+ *     the whole VM
+ * @param unreachable whether a suspicion of it was not refuted in time
  */
 record KnownVm(
         Vm vm,
@@ -24,39 +25,43 @@
         return new KnownVm(vm, false, 0, HashTreePMap.empty(), false);
     }
 
-    /** Returns whether work should keep away from the target. */
+    /** Returns whether new requests should avoid the target. */
     boolean leaving(String target) {
         return platformLeaving || hasNotice(LeavingNotice.WHOLE_VM) || hasNotice(target);
     }
 
     private boolean hasNotice(String target) {
-        Long by = noticeIncarnations.get(target);
-        // A notice speaks for the run that gave it. Without this bound a VM that was restarted
-        // under its old name would get no work for as long as its notice is remembered.
-        return by != null && by >= incarnation;
+        Long noticeIncarnation = noticeIncarnations.get(target);
+        // A notice is valid only for the run that published it. Without this check a VM restarted
+        // under the same ID would get no requests for as long as the notice is stored.
+        return noticeIncarnation != null && noticeIncarnation >= incarnation;
     }
 
     KnownVm withVm(Vm newVm) {
         return new KnownVm(newVm, platformLeaving, incarnation, noticeIncarnations, unreachable);
     }
 
-    KnownVm withPlatformLeaving(boolean leaving) {
-        return new KnownVm(vm, leaving, incarnation, noticeIncarnations, unreachable);
+    KnownVm withPlatformLeaving(boolean isLeaving) {
+        return new KnownVm(vm, isLeaving, incarnation, noticeIncarnations, unreachable);
     }
 
-    KnownVm withIncarnation(long newer) {
-        return new KnownVm(vm, platformLeaving, newer, noticeIncarnations, unreachable);
+    KnownVm withIncarnation(long newIncarnation) {
+        return new KnownVm(vm, platformLeaving, newIncarnation, noticeIncarnations, unreachable);
     }
 
-    KnownVm withNotice(String target, long by) {
-        if (noticeIncarnations.getOrDefault(target, 0L) >= by) {
+    KnownVm withNotice(String target, long noticeIncarnation) {
+        if (noticeIncarnations.getOrDefault(target, 0L) >= noticeIncarnation) {
             return this;
         }
         return new KnownVm(
-                vm, platformLeaving, incarnation, noticeIncarnations.plus(target, by), unreachable);
+                vm,
+                platformLeaving,
+                incarnation,
+                noticeIncarnations.plus(target, noticeIncarnation),
+                unreachable);
     }
 
-    KnownVm withUnreachable(boolean now) {
-        return new KnownVm(vm, platformLeaving, incarnation, noticeIncarnations, now);
+    KnownVm withUnreachable(boolean isUnreachable) {
+        return new KnownVm(vm, platformLeaving, incarnation, noticeIncarnations, isUnreachable);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/LeavingNotice.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/LeavingNotice.java
@@ -3,20 +3,20 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * A node's own word that its VM, or one target on it, is leaving.
+ * An announcement by a node that its VM, or one target on it, is leaving.
  *
- * <p>It can only make a target leave sooner; it ends when the node starts again, which its higher
- * incarnation shows.
+ * <p>A notice can only make a target leave sooner. It expires when the node restarts, which is
+ * detected by the node's higher incarnation.
  *
  * @param vm the VM
  * @param target the target on it that is leaving; empty for the whole VM
- * @param incarnation the run of the node that said so
+ * @param incarnation the incarnation of the node that published the notice
  */
 public record LeavingNotice(String vm, String target, long incarnation) {
-    /** Stands for the whole VM in place of a target. */
+    /** The value of {@code target} that denotes the whole VM. */
     public static final String WHOLE_VM = "";
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public LeavingNotice {
         Checks.id("vm", vm);
         Checks.notNull("target", target);
--- a/src/main/java/org/apricotgauge/decision/gossip/Link.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Link.java
@@ -2,18 +2,18 @@
 
 import org.apricotgauge.model.Vm;
 
-/** One connection to a peer, as the state machine sees it. */
+/** State of one connection to a peer. */
 final class Link {
     private static final StateSummary EMPTY_SUMMARY = new StateSummary(0, "", 0, 0);
 
-    /** How far the link has come. */
+    /** State of the connection. */
     enum State {
         DIALLING,
         HANDSHAKE,
         ESTABLISHED
     }
 
-    /** What the link is for. */
+    /** Purpose of the link. */
     enum Role {
         NEIGHBOUR,
         PROBE
@@ -26,13 +26,13 @@
     long mLastReceivedMillis;
     long mLastPingMillis;
 
-    /** The peer; null until it has said who it is. */
+    /** The VM of the peer; null until the peer has identified itself. */
     Vm mRemote;
 
-    /** What the peer said last that it holds. */
+    /** The last summary received from the peer. */
     StateSummary mSummary = EMPTY_SUMMARY;
 
-    /** Whether the peer's history is another than ours; it is never asked for records then. */
+    /** Whether the peer's history conflicts with the local one; blocks requests for records. */
     boolean mHistoryConflict;
 
     Link(long id, Role role, State state, Vm remote, long nowMillis) {
--- a/src/main/java/org/apricotgauge/decision/gossip/LinkManager.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/LinkManager.java
@@ -5,15 +5,15 @@
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Vm;
 
-/** The life of links: dial, greet, heartbeat, silence, loss. */
+/** Manages the lifecycle of links: dialling, handshake, heartbeats, timeouts, disconnection. */
 final class LinkManager {
     private static final int SAMPLE_SIZE = 8;
 
-    /** Told what happens to links. */
+    /** Provides the local summary and receives the changes of links. */
     interface Listener {
         StateSummary summary();
 
-        /** A peer, linked or not, said what it holds. */
+        /** Called with the summary of a peer, whether or not a link to it is established. */
         void onRemoteSummary(Vm remote, StateSummary summary);
 
         void onEstablished(Link link, long incarnation, StateSummary summary, long nowMillis);
@@ -35,31 +35,31 @@
     LinkManager(
             NodeIdentity identity,
             GossipContext context,
-            PeerTransport<?> port,
+            PeerTransport<?> transport,
             Announcer announcer,
-            LocalHealthMultiplier health,
-            PeerFailureDetector liveness,
+            LocalHealthMultiplier healthMultiplier,
+            PeerFailureDetector failureDetector,
             Supplier<VmView> view,
             Listener listener) {
         mIdentity = identity;
         mContext = context;
-        mTransport = port;
+        mTransport = transport;
         mAnnouncer = announcer;
-        mHealthMultiplier = health;
-        mFailureDetector = liveness;
+        mHealthMultiplier = healthMultiplier;
+        mFailureDetector = failureDetector;
         mView = view;
         mListener = listener;
         mNeighbours =
                 new Neighbours(
                         context,
                         view,
-                        liveness,
+                        failureDetector,
                         identity.seeds(),
                         (vm, address, nowMillis) ->
                                 dial(vm, address, Link.Role.NEIGHBOUR, nowMillis));
     }
 
-    /** Returns the sequence of the last heartbeat sent. */
+    /** Returns the sequence of the last heartbeat that was sent. */
     long lastPingSequence() {
         return mPingSequence;
     }
@@ -69,16 +69,19 @@
             checkTimeouts(link, nowMillis);
         }
         Link surplus = mNeighbours.surplusLink(nowMillis);
-        Link exchanged = surplus == null ? mNeighbours.linkToReplace(nowMillis) : surplus;
-        if (exchanged != null) {
-            close(exchanged);
+        Link replaced = surplus == null ? mNeighbours.linkToReplace(nowMillis) : surplus;
+        if (replaced != null) {
+            close(replaced);
         }
         if (!mAnnouncer.isVmLeaving()) {
             mNeighbours.dialMissing(nowMillis);
         }
     }
 
-    /** The process woke from a pause: the silence was ours, and every peer is asked anew. */
+    /**
+     * Restarts the timeouts of all links and pings every peer after a pause, since this process was
+     * unresponsive and not its peers.
+     */
     void onResumed(long nowMillis) {
         mHealthMultiplier.onFailure();
         for (Link link : mContext.links().all()) {
@@ -133,13 +136,13 @@
             return;
         }
         boolean probe = hello.purpose() == PeerMessage.Purpose.PROBE;
-        boolean self = hello.vm().id().equals(mIdentity.vm().id());
+        boolean isSelf = hello.vm().id().equals(mIdentity.vm().id());
         int inbound = mContext.links().count(l -> l.established() && !l.dialled());
-        boolean room = inbound < mContext.settings().maxInboundLinks();
-        boolean accepted = !self && (probe || room);
+        boolean hasRoom = inbound < mContext.settings().maxInboundLinks();
+        boolean accepted = !isSelf && (probe || hasRoom);
         sendWelcome(link, accepted);
-        // The dialler closes a probe or a refused link once it has read the answer; if it doesn't,
-        // the time limit for greetings does.
+        // The dialler closes a probe or a rejected link once it has received the response;
+        // otherwise the handshake timeout closes it.
         if (!accepted || probe) {
             return;
         }
@@ -182,8 +185,8 @@
     private void checkTimeouts(Link link, long nowMillis) {
         GossipSettings settings = mContext.settings();
         if (!link.established()) {
-            long limitMillis = mHealthMultiplier.scale(settings.dialTimeoutMillis());
-            if (nowMillis - link.mOpenedAtMillis > limitMillis) {
+            long timeoutMillis = mHealthMultiplier.scale(settings.dialTimeoutMillis());
+            if (nowMillis - link.mOpenedAtMillis > timeoutMillis) {
                 close(link);
                 onDisconnected(link, nowMillis);
             }
@@ -191,9 +194,10 @@
         }
         if (nowMillis - link.mLastReceivedMillis
                 > mHealthMultiplier.scale(settings.linkTimeoutMillis())) {
-            // Something between the two ends may have lost track of this connection while new ones
-            // work. TCP would tell after minutes; until then the peer would seem dead and its news
-            // would not come. A new connection shows at once which of the two is the case.
+            // A middlebox between the two ends may have lost the state of this connection while new
+            // connections work. TCP would report this only after minutes; until then the peer would
+            // appear dead and its updates would be missing. A new connection shows immediately
+            // whether the peer or only the connection failed.
             mContext.count(GossipEvent.LINK_SILENT);
             mHealthMultiplier.onFailure();
             close(link);
@@ -219,14 +223,14 @@
         mTransport.close(link.mId);
     }
 
-    /** Finds out whether the peer of a link that ended is gone, or only the link. */
+    /** Determines whether the peer of a closed link is unreachable, or only the link failed. */
     private void onDisconnected(Link link, long nowMillis) {
         Vm remote = link.mRemote;
-        boolean expected =
+        boolean isExpected =
                 remote == null || mView.get().leaving(remote.id()) || mAnnouncer.isVmLeaving();
         if (link.mState == Link.State.ESTABLISHED) {
             Link.Role role = link.dialled() ? Link.Role.NEIGHBOUR : Link.Role.PROBE;
-            if (!expected && !mContext.links().linkedTo(remote.id())) {
+            if (!isExpected && !mContext.links().linkedTo(remote.id())) {
                 dial(remote, role, nowMillis);
             }
             return;
@@ -235,9 +239,9 @@
             return;
         }
         mContext.count(GossipEvent.DIAL_FAILED);
-        boolean forOther =
+        boolean isForOther =
                 link.mRole == Link.Role.PROBE && mFailureDetector.onProbeEnded(link.mId, false);
-        if (!forOther && !expected) {
+        if (!isForOther && !isExpected) {
             mFailureDetector.onUnreachable(remote, nowMillis);
         }
     }
@@ -256,8 +260,8 @@
     }
 
     private void closeOlderLinkFrom(Vm vm) {
-        // A peer dials again when its old connection went silent; here the old one may still look
-        // well, and would be counted against the bound on links.
+        // A peer dials again when its old connection timed out; on this side the old connection may
+        // still look healthy, and would count against the limit on inbound links.
         for (Link old : mContext.links().where(l -> l.established() && !l.dialled())) {
             if (old.mRemote.id().equals(vm.id())) {
                 close(old);
--- a/src/main/java/org/apricotgauge/decision/gossip/LinkTable.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/LinkTable.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The links of one node by number. */
+/** The links of one node by ID. */
 final class LinkTable {
     private final Map<Long, Link> mLinks = new LinkedHashMap<>();
     private long mNextDialled = 1;
@@ -27,7 +27,7 @@
         return mLinks.remove(id);
     }
 
-    /** Returns a copy, so that links may be closed while it is walked. */
+    /** Returns a copy, so that links may be closed during iteration. */
     List<Link> all() {
         return List.copyOf(mLinks.values());
     }
@@ -36,15 +36,15 @@
         return where(Link::established);
     }
 
-    List<Link> where(Predicate<Link> wanted) {
+    List<Link> where(Predicate<Link> filter) {
         Collection<Link> links = mLinks.values();
-        return links.stream().filter(wanted).toList();
+        return links.stream().filter(filter).toList();
     }
 
-    int count(Predicate<Link> wanted) {
+    int count(Predicate<Link> filter) {
         int count = 0;
         for (Link link : mLinks.values()) {
-            if (wanted.test(link)) {
+            if (filter.test(link)) {
                 count++;
             }
         }
--- a/src/main/java/org/apricotgauge/decision/gossip/LocalHealthMultiplier.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/LocalHealthMultiplier.java
@@ -1,10 +1,11 @@
 package org.apricotgauge.decision.gossip;
 
 /**
- * How far this node can trust its own judgement of others, after Lifeguard (DSN 2018).
+ * Scales timeouts by the health of the local node, as in Lifeguard (DSN 2018).
  *
- * <p>A node that is itself starved hears every peer late. Without this it would accuse healthy
- * peers; with it, its own trouble lengthens its time limits up to {@code MAX_SCORE + 1} times.
+ * <p>A node that is itself starved of resources receives messages of all peers late. Without this
+ * multiplier it would suspect healthy peers; with it, its own failures extend its timeouts by up to
+ * {@code MAX_SCORE + 1} times.
  */
 final class LocalHealthMultiplier {
     private static final int MAX_SCORE = 4;
--- a/src/main/java/org/apricotgauge/decision/gossip/MembershipView.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/MembershipView.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 import org.apricotgauge.model.Vm;
 
-/** Merges the platform's list, liveness and notices into one {@link VmView}. */
+/** Merges the platform's VM list, liveness items and leaving notices into a {@link VmView}. */
 final class MembershipView {
 
-    /** Told what changed. */
+    /** Receives changes of the view. */
     interface Listener {
         void onView(VmView view);
 
@@ -17,7 +17,7 @@
 
     private final GossipContext mContext;
     private final ItemGossip mItems;
-    private final PeerFailureDetector mLiveness;
+    private final PeerFailureDetector mFailureDetector;
     private final Announcer mAnnouncer;
     private final Listener mListener;
     private VmView mView = VmView.EMPTY;
@@ -25,12 +25,12 @@
     MembershipView(
             GossipContext context,
             ItemGossip items,
-            PeerFailureDetector liveness,
+            PeerFailureDetector failureDetector,
             Announcer announcer,
             Listener listener) {
         mContext = context;
         mItems = items;
-        mLiveness = liveness;
+        mFailureDetector = failureDetector;
         mAnnouncer = announcer;
         mListener = listener;
     }
@@ -39,7 +39,7 @@
         return mView;
     }
 
-    /** Returns in how many failure domains, the own one too, other nodes are known. */
+    /** Returns the number of failure domains, including the local one, with other known nodes. */
     int knownDomains() {
         Set<String> domains = new HashSet<>();
         for (Vm vm : mView.nodes()) {
@@ -50,15 +50,15 @@
         return domains.size();
     }
 
-    void onVmLines(List<VmLine> news, List<String> forgotten) {
+    void onVmLines(List<VmLine> changed, List<String> evicted) {
         VmView view = mView;
-        for (VmLine line : news) {
+        for (VmLine line : changed) {
             view = view.withLine(line);
         }
-        update(withNotices(view.without(forgotten)));
+        update(withNotices(view.without(evicted)));
     }
 
-    /** A peer said itself who it is. */
+    /** Called when a peer has identified itself on a link. */
     void onPeerIdentified(Vm vm, long incarnation) {
         if (mView.vm(vm.id()) == null || incarnation > mView.incarnation(vm.id())) {
             update(withNotices(mView.withAlive(vm, incarnation)));
@@ -80,23 +80,23 @@
             }
             return;
         }
-        boolean suspected = item.sequence() % 2 == 1;
-        if (suspected) {
+        boolean isSuspected = item.sequence() % 2 == 1;
+        if (isSuspected) {
             if (incarnation >= mView.incarnation(item.node())) {
-                mLiveness.onSuspected(item.node(), nowMillis);
+                mFailureDetector.onSuspected(item.node(), nowMillis);
             }
             return;
         }
         Vm vm = ItemPayloads.decodeVm(item.payload());
         if (vm != null && vm.id().equals(item.node())) {
-            mLiveness.onAlive(vm.id());
+            mFailureDetector.onAlive(vm.id());
             update(withNotices(mView.withAlive(vm, incarnation)));
         }
     }
 
     void onLeaving(GossipItem item, long nowMillis) {
-        boolean own = item.node().equals(mContext.self().id());
-        boolean fromEarlierRun = own && !mAnnouncer.hasAnnouncedLeaving(item.key());
+        boolean isOwn = item.node().equals(mContext.self().id());
+        boolean fromEarlierRun = isOwn && !mAnnouncer.hasAnnouncedLeaving(item.key());
         if (fromEarlierRun && item.sequence() >= mAnnouncer.incarnation()) {
             mAnnouncer.refute(item.sequence(), nowMillis);
         }
@@ -105,14 +105,13 @@
         mListener.onLeaving(notice);
     }
 
-    /** A notice may come before the VM that it is about is known. */
+    /** Applies the stored notices again, as a notice may be received before its VM is known. */
     private VmView withNotices(VmView view) {
-        VmView noticed = view;
+        VmView result = view;
         for (GossipItem item : mItems.store().leavingItems()) {
-            noticed =
-                    noticed.withNotice(new LeavingNotice(item.node(), item.key(), item.sequence()));
+            result = result.withNotice(new LeavingNotice(item.node(), item.key(), item.sequence()));
         }
-        return noticed;
+        return result;
     }
 
     private void update(VmView view) {
--- a/src/main/java/org/apricotgauge/decision/gossip/Neighbours.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Neighbours.java
@@ -9,12 +9,12 @@
 import org.apricotgauge.model.Vm;
 
 /**
- * Keeps this node's partial view: a few links dialled to random nodes in the own and in other
- * failure domains, now and then exchanged, and a bounded number of accepted ones.
+ * Maintains this node's partial view: a few links dialled to random nodes in the local and in other
+ * failure domains, replaced from time to time, and a bounded number of accepted links.
  *
- * <p>Each node dials 4, so that a node has 8 links on average whatever the size of the fleet. A
- * random graph in which each node picks m others stays in one piece when any m - 1 nodes are taken
- * out (Fenner and Frieze, 1982).
+ * <p>Each node dials 4 links, so that a node has 8 links on average regardless of the fleet size. A
+ * random graph in which each node picks m others remains connected when any m - 1 nodes are removed
+ * (Fenner and Frieze, 1982).
  */
 final class Neighbours {
     private static final int MAX_DIALLING = 4;
@@ -23,7 +23,7 @@
     private static final long DISCOVERY_INTERVAL_MILLIS = 1_000;
     private static final long MIN_SURPLUS_AGE_MILLIS = 10_000;
 
-    /** Opens a link to a peer; the VM is null if only its address is known. */
+    /** Opens a link to a peer; the VM is null if only the address is known. */
     interface Dialler {
         void dial(Vm vm, Address address, long nowMillis);
     }
@@ -43,17 +43,17 @@
     Neighbours(
             GossipContext context,
             Supplier<VmView> view,
-            PeerFailureDetector liveness,
+            PeerFailureDetector failureDetector,
             List<Address> seeds,
             Dialler dialler) {
         mContext = context;
         mView = view;
-        mFailureDetector = liveness;
+        mFailureDetector = failureDetector;
         mSeeds = List.copyOf(seeds);
         mDialler = dialler;
     }
 
-    /** Remembers nodes that a peer named; of use before the list of VMs is here. */
+    /** Stores nodes that a peer named; they are used until the VM list is available. */
     void onHints(List<Vm> vms) {
         for (Vm vm : vms) {
             if (mHints.size() < MAX_HINTS && !vm.id().equals(mContext.self().id())) {
@@ -62,27 +62,27 @@
         }
     }
 
-    /** Returns a few nodes to name to a newcomer. */
+    /** Returns a sample of known nodes for a newly linked peer. */
     List<Vm> sample(int count) {
         return mContext.sample(nodes(), count);
     }
 
-    /** Returns a dialled link to give up for another one, or null if it isn't time. */
+    /** Returns a dialled link to replace by another one, or null if none is due. */
     Link linkToReplace(long nowMillis) {
         if (nowMillis < mNextRewireMillis) {
             return null;
         }
         long meanMillis = mContext.settings().rewireMillis();
-        boolean first = mNextRewireMillis == 0;
+        boolean isFirst = mNextRewireMillis == 0;
         mNextRewireMillis = nowMillis + meanMillis / 2 + mContext.random().nextLong(meanMillis);
         GossipSettings settings = mContext.settings();
         int wanted = settings.ownDomainLinks() + settings.otherDomainLinks();
         List<Link> dialled = mContext.links().where(l -> l.established() && l.dialled());
-        boolean others = linkable(nodes()).stream().anyMatch(vm -> isUsable(vm, nowMillis));
-        return first || dialled.size() < wanted || !others ? null : mContext.pick(dialled);
+        boolean hasOthers = linkable(nodes()).stream().anyMatch(vm -> isUsable(vm, nowMillis));
+        return isFirst || dialled.size() < wanted || !hasOthers ? null : mContext.pick(dialled);
     }
 
-    /** Returns a dialled link that is one too many by now, or null. */
+    /** Returns a dialled link in excess of the configured number, or null. */
     Link surplusLink(long nowMillis) {
         GossipSettings settings = mContext.settings();
         int own = countDialled(true);
@@ -90,19 +90,22 @@
         if (own + other <= settings.ownDomainLinks() + settings.otherDomainLinks()) {
             return null;
         }
-        boolean tooManyOwn = own > settings.ownDomainLinks();
+        boolean hasSurplusOwn = own > settings.ownDomainLinks();
         return mContext.pick(
                 mContext.links()
                         .where(
                                 link ->
                                         link.established()
                                                 && link.dialled()
-                                                && inOwnDomain(link) == tooManyOwn
+                                                && inOwnDomain(link) == hasSurplusOwn
                                                 && nowMillis - link.mOpenedAtMillis
                                                         > MIN_SURPLUS_AGE_MILLIS));
     }
 
-    /** Dials what is missing. */
+    /**
+     * Dials at most one peer: for a missing link, or an unreachable node to reconnect the sides of
+     * a partition.
+     */
     void dialMissing(long nowMillis) {
         int dialling = mContext.links().count(l -> l.mState != Link.State.ESTABLISHED);
         if (dialling >= MAX_DIALLING) {
@@ -137,35 +140,35 @@
     }
 
     /**
-     * Looks for nodes beyond those it knows, while it has fewer links than it wants.
+     * Dials hints and seeds beyond the known nodes while the node has fewer links than configured.
      *
-     * <p>Two nodes that start at once may find only each other. Were one link enough, they would
-     * stay an island for as long as the platform's list does not come.
+     * <p>Two nodes that start at the same time may find only each other. If one link were enough,
+     * they would stay isolated until the platform's VM list is available.
      */
     private void discover(long nowMillis) {
         if (nowMillis < mNextDiscoveryMillis) {
             return;
         }
         mNextDiscoveryMillis = nowMillis + DISCOVERY_INTERVAL_MILLIS;
-        boolean alone = mContext.links().established().isEmpty();
-        Vm anybody = alone ? mContext.pick(linkable(nodes())) : null;
+        boolean isAlone = mContext.links().established().isEmpty();
+        Vm known = isAlone ? mContext.pick(linkable(nodes())) : null;
         Vm hint = mContext.pick(linkable(List.copyOf(mHints.values())));
         Address seed = mContext.pick(mSeeds.stream().filter(this::notLinked).toList());
         if (hint != null && mContext.random().nextBoolean()) {
             dial(hint, nowMillis);
-        } else if (anybody != null && mContext.random().nextBoolean()) {
-            dial(anybody, nowMillis);
+        } else if (known != null && mContext.random().nextBoolean()) {
+            dial(known, nowMillis);
         } else if (seed != null) {
             mDialler.dial(null, seed, nowMillis);
-        } else if (anybody != null) {
-            dial(anybody, nowMillis);
+        } else if (known != null) {
+            dial(known, nowMillis);
         }
     }
 
     private boolean notLinked(Address seed) {
         Vm self = mContext.self();
-        boolean own = seed.equals(new Address(self.host(), self.peerPort()));
-        return !own
+        boolean isOwn = seed.equals(new Address(self.host(), self.peerPort()));
+        return !isOwn
                 && mContext.links()
                                 .count(
                                         link ->
@@ -182,17 +185,19 @@
     }
 
     private Vm chooseUnreachable(long nowMillis) {
-        // In a partition the whole other side ends up suspected. Were it never dialled again, the
-        // two sides would stay apart after the partition has healed. The chance keeps the dials
-        // that one unreachable node gets at about one in HEAL_MILLIS, whatever the fleet's size.
+        // In a partition all nodes of the other side become unreachable. If they were never dialled
+        // again, the two sides would stay separate after the partition has healed. The probability
+        // limits the dials to one unreachable node to about one per HEAL_INTERVAL_MILLIS,
+        // regardless of the fleet size.
         if (nowMillis < mNextHealMillis) {
             return null;
         }
         mNextHealMillis = nowMillis + HEAL_INTERVAL_MILLIS;
         VmView view = mView.get();
-        List<Vm> lost = linkable(nodes()).stream().filter(vm -> view.unreachable(vm.id())).toList();
-        boolean now = mContext.random().nextInt(1 + nodes().size()) < lost.size();
-        return now ? mContext.pick(lost) : null;
+        List<Vm> unreachable =
+                linkable(nodes()).stream().filter(vm -> view.unreachable(vm.id())).toList();
+        boolean shouldDial = mContext.random().nextInt(1 + nodes().size()) < unreachable.size();
+        return shouldDial ? mContext.pick(unreachable) : null;
     }
 
     private Vm candidate(boolean ownDomain, long nowMillis) {
@@ -200,16 +205,16 @@
         List<Vm> choices = new ArrayList<>();
         List<Vm> newDomains = new ArrayList<>();
         for (Vm vm : linkable(nodes())) {
-            boolean wanted = vm.failureDomain().equals(domain) == ownDomain;
-            if (wanted && isUsable(vm, nowMillis)) {
+            boolean isMatching = vm.failureDomain().equals(domain) == ownDomain;
+            if (isMatching && isUsable(vm, nowMillis)) {
                 choices.add(vm);
                 if (!linkedIn(vm.failureDomain())) {
                     newDomains.add(vm);
                 }
             }
         }
-        // Links into different domains: losing one domain then costs one link, and a fresh node
-        // hears from as many domains as it can.
+        // Prefers domains without a link: the loss of one domain then costs one link, and a new
+        // node receives the state of as many domains as possible.
         return mContext.pick(newDomains.isEmpty() ? choices : newDomains);
     }
 
--- a/src/main/java/org/apricotgauge/decision/gossip/NodeIdentity.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/NodeIdentity.java
@@ -6,20 +6,20 @@
 import org.apricotgauge.model.Vm;
 
 /**
- * Who a node is.
+ * The identity of a node.
  *
- * @param site name of the site; nodes of different sites do not talk
+ * @param site name of the site; nodes of different sites do not communicate
  * @param vm the node's own VM
- * @param incarnation this run of the node; higher than that of the run before, such as the wall
- *     clock in milliseconds at its start
- * @param seeds addresses to try while no other node is known; may be empty
+ * @param incarnation identifies this run of the node; higher than that of the previous run, such as
+ *     the wall clock in milliseconds at startup
+ * @param seeds addresses to dial while no other node is known; may be empty
  */
 public record NodeIdentity(String site, Vm vm, long incarnation, List<Address> seeds) {
 
-    /** Highest incarnation; a node takes later ones when it has to refute what is said of it. */
+    /** Maximum initial incarnation; a node takes later ones when it refutes items about itself. */
     public static final long MAX_INCARNATION = Long.MAX_VALUE / 8;
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public NodeIdentity {
         Checks.id("site", site);
         Checks.notNull("vm", vm);
--- a/src/main/java/org/apricotgauge/decision/gossip/PeerFailureDetector.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/PeerFailureDetector.java
@@ -9,12 +9,12 @@
 import org.apricotgauge.model.Vm;
 
 /**
- * Finds peers that cannot be reached, after SWIM (DSN 2002): before it accuses, a node asks others
- * to try.
+ * Detects unreachable peers as in SWIM (DSN 2002): before a node suspects a peer, it requests
+ * indirect probes from other nodes.
  *
- * <p>If any of them gets through, the path is at fault (often one way only), not the peer: the peer
- * is then merely avoided from here. If nobody answers at all, this node may be the one that is cut
- * off, and accuses nobody.
+ * <p>If any of them reaches the peer, the path is at fault (often in one direction only), not the
+ * peer; this node then only avoids the peer for a while. If none of them responds, this node may
+ * itself be disconnected, and suspects nobody.
  */
 final class PeerFailureDetector {
     private static final int MAX_HELPERS = 3;
@@ -31,10 +31,10 @@
         final int mHelperCount;
         int mFailedCount;
 
-        IndirectProbe(Vm vm, long deadlineMillis, int asked) {
+        IndirectProbe(Vm vm, long deadlineMillis, int helperCount) {
             mVm = vm;
             mDeadlineMillis = deadlineMillis;
-            mHelperCount = asked;
+            mHelperCount = helperCount;
         }
     }
 
@@ -58,32 +58,32 @@
 
     PeerFailureDetector(
             GossipContext context,
-            PeerTransport<?> port,
-            LocalHealthMultiplier health,
-            BiConsumer<Vm, Long> accuse) {
+            PeerTransport<?> transport,
+            LocalHealthMultiplier healthMultiplier,
+            BiConsumer<Vm, Long> suspicionHandler) {
         mContext = context;
-        mTransport = port;
-        mHealthMultiplier = health;
-        mSuspicionHandler = accuse;
+        mTransport = transport;
+        mHealthMultiplier = healthMultiplier;
+        mSuspicionHandler = suspicionHandler;
     }
 
     boolean isAvoided(String vm, long nowMillis) {
         return mAvoidUntilMillis.getOrDefault(vm, Long.MIN_VALUE) > nowMillis;
     }
 
-    /** A peer has no room for a link: tries others first. */
+    /** Avoids a peer that rejected a link, in favour of others. */
     void avoid(String vm, long nowMillis) {
         mAvoidUntilMillis.put(vm, nowMillis + AVOID_MILLIS);
     }
 
-    /** A fresh dial of a peer failed: asks others to try. */
+    /** Requests indirect probes of a peer after a dial of it failed. */
     void onUnreachable(Vm vm, long nowMillis) {
         avoid(vm.id(), nowMillis);
-        boolean underCheck =
+        boolean isPending =
                 mSuspectSinceMillis.containsKey(vm.id())
                         || mIndirectProbes.values().stream()
-                                .anyMatch(c -> c.mVm.id().equals(vm.id()));
-        if (underCheck || mIndirectProbes.size() >= MAX_INDIRECT_PROBES) {
+                                .anyMatch(probe -> probe.mVm.id().equals(vm.id()));
+        if (isPending || mIndirectProbes.size() >= MAX_INDIRECT_PROBES) {
             return;
         }
         List<Link> others =
@@ -102,13 +102,14 @@
     }
 
     /**
-     * Another node asks us to try a peer.
+     * Handles a request of another node to probe a peer.
      *
-     * @return whether a probe has to be dialled; it is then named by {@link #onProbeDialled}
+     * @return whether a probe has to be dialled; the caller then registers it by {@link
+     *     #onProbeDialled}
      */
     boolean onProbeRequest(Link link, PeerMessage.ProbeRequest request, long nowMillis) {
         long recentMillis = nowMillis - 2 * mContext.settings().heartbeatMillis();
-        boolean heard =
+        boolean isConnected =
                 mContext.links()
                                 .count(
                                         other ->
@@ -119,7 +120,7 @@
                                                         && other.mLastReceivedMillis
                                                                 >= recentMillis)
                         > 0;
-        if (heard) {
+        if (isConnected) {
             mTransport.send(link.mId, new PeerMessage.ProbeResult(request.nonce(), true));
             return false;
         }
@@ -130,7 +131,7 @@
         mProbesForOthers.put(probe, new Requester(requester, nonce));
     }
 
-    /** A probe that we dialled ended; returns whether it was on behalf of another node. */
+    /** Handles the end of a dialled probe; returns whether it was on behalf of another node. */
     boolean onProbeEnded(long probe, boolean reachable) {
         Requester requester = mProbesForOthers.remove(probe);
         if (requester == null) {
@@ -142,20 +143,20 @@
     }
 
     void onProbeResult(PeerMessage.ProbeResult result, long nowMillis) {
-        IndirectProbe check = mIndirectProbes.get(result.nonce());
-        if (check == null) {
+        IndirectProbe probe = mIndirectProbes.get(result.nonce());
+        if (probe == null) {
             return;
         }
         if (result.reachable()) {
             mIndirectProbes.remove(result.nonce());
-            mAvoidUntilMillis.put(check.mVm.id(), nowMillis + AVOID_PATH_FAULT_MILLIS);
+            mAvoidUntilMillis.put(probe.mVm.id(), nowMillis + AVOID_PATH_FAULT_MILLIS);
             mContext.count(GossipEvent.PATH_FAULT);
             return;
         }
-        check.mFailedCount++;
-        if (check.mFailedCount == check.mHelperCount) {
+        probe.mFailedCount++;
+        if (probe.mFailedCount == probe.mHelperCount) {
             mIndirectProbes.remove(result.nonce());
-            raiseSuspicion(check.mVm, nowMillis);
+            raiseSuspicion(probe.mVm, nowMillis);
         }
     }
 
@@ -168,26 +169,26 @@
         mAvoidUntilMillis.remove(vm);
     }
 
-    /** Returns the peers whose suspicion has now stood long enough. */
+    /** Expires indirect probes and returns the peers whose suspicion has timed out. */
     List<String> tick(long nowMillis) {
-        Iterator<IndirectProbe> checks = mIndirectProbes.values().iterator();
-        while (checks.hasNext()) {
-            IndirectProbe check = checks.next();
-            if (nowMillis >= check.mDeadlineMillis) {
-                checks.remove();
-                if (check.mFailedCount > 0) {
-                    raiseSuspicion(check.mVm, nowMillis);
+        Iterator<IndirectProbe> probes = mIndirectProbes.values().iterator();
+        while (probes.hasNext()) {
+            IndirectProbe probe = probes.next();
+            if (nowMillis >= probe.mDeadlineMillis) {
+                probes.remove();
+                if (probe.mFailedCount > 0) {
+                    raiseSuspicion(probe.mVm, nowMillis);
                 }
             }
         }
         long dueMillis = nowMillis - mContext.settings().suspicionTimeoutMillis();
-        List<String> gone =
+        List<String> unreachable =
                 mSuspectSinceMillis.entrySet().stream()
                         .filter(entry -> entry.getValue() <= dueMillis)
                         .map(Map.Entry::getKey)
                         .toList();
-        gone.forEach(mSuspectSinceMillis::remove);
-        return gone;
+        unreachable.forEach(mSuspectSinceMillis::remove);
+        return unreachable;
     }
 
     private void raiseSuspicion(Vm vm, long nowMillis) {
--- a/src/main/java/org/apricotgauge/decision/gossip/PeerMessage.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/PeerMessage.java
@@ -5,21 +5,21 @@
 import org.apricotgauge.model.Vm;
 
 /**
- * A message between two nodes.
+ * A message of the gossip protocol between two nodes.
  *
- * <p>A later release may add fields: a receiver ignores those it doesn't know.
+ * <p>A later release may add fields; a receiver ignores fields it doesn't recognize.
  */
 public sealed interface PeerMessage {
 
-    /** Why a connection was dialled. */
+    /** The purpose of a dialled connection. */
     enum Purpose {
         /** To exchange gossip. */
         NEIGHBOUR,
-        /** To see, on behalf of another node, whether this one can be reached. */
+        /** To check, on behalf of another node, whether the receiver is reachable. */
         PROBE
     }
 
-    /** First message of the dialling side; the range of protocol versions it speaks. */
+    /** First message of the dialling side, with the range of protocol versions it supports. */
     record Hello(
             int minProtocol,
             int maxProtocol,
@@ -30,7 +30,7 @@
             StateSummary summary)
             implements PeerMessage {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Hello {
             Checks.notNull("site", site);
             Checks.notNull("purpose", purpose);
@@ -39,7 +39,10 @@
         }
     }
 
-    /** First message of the accepting side; with {@code accepted} false it closes next. */
+    /**
+     * First message of the accepting side; if {@code accepted} is false, the dialling side closes
+     * the link.
+     */
     record Welcome(
             int protocol,
             boolean accepted,
@@ -49,7 +52,7 @@
             List<Vm> sample)
             implements PeerMessage {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Welcome {
             Checks.notNull("vm", vm);
             Checks.notNull("summary", summary);
@@ -57,60 +60,63 @@
         }
     }
 
-    /** Heartbeat; answered by {@link Ack} with the same sequence. */
+    /** Heartbeat; the receiver responds with an {@link Ack} of the same sequence. */
     record Ping(long sequence, StateSummary summary) implements PeerMessage {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Ping {
             Checks.notNull("summary", summary);
         }
     }
 
-    /** Answer to a heartbeat. */
+    /** Response to a heartbeat. */
     record Ack(long sequence, StateSummary summary) implements PeerMessage {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Ack {
             Checks.notNull("summary", summary);
         }
     }
 
-    /** Tells at once that something new is here, too large to push. */
+    /** Announces new state without delay when it is too large to push. */
     record Have(StateSummary summary) implements PeerMessage {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Have {
             Checks.notNull("summary", summary);
         }
     }
 
-    /** Records of the log, in order. */
+    /** Consecutive records of the log. */
     record Entries(List<DigestedRecord> records) implements PeerMessage {
 
-        /** Copies the list. */
+        /** Copies the list; null becomes an empty list. */
         public Entries {
             records = copy(records);
         }
     }
 
-    /** Asks for the records after a position; the digest lets the other side check the history. */
+    /**
+     * Requests the records after a position; the digest lets the receiver detect a conflicting
+     * history.
+     */
     record EntriesRequest(long afterPosition, String digest) implements PeerMessage {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public EntriesRequest {
             Checks.inRange("afterPosition", afterPosition, 0, Long.MAX_VALUE);
             Checks.notNull("digest", digest);
         }
     }
 
-    /** Asks for one chunk of the snapshot at a position. */
+    /** Requests one chunk of the snapshot at a position. */
     record SnapshotRequest(long position, int chunk) implements PeerMessage {}
 
     /** One chunk of a snapshot. */
     record SnapshotChunk(long position, String digest, int chunk, int chunks, byte[] bytes)
             implements PeerMessage {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public SnapshotChunk {
             Checks.notNull("digest", digest);
             Checks.notNull("bytes", bytes);
@@ -118,40 +124,40 @@
         }
     }
 
-    /** Asks for changes of the list of VMs after a revision. */
+    /** Requests the changes of the VM list after a revision. */
     record VmsRequest(long sinceRevision) implements PeerMessage {}
 
-    /** Changes of the list of VMs between two revisions. */
+    /** Changes of the VM list between two revisions. */
     record VmChanges(long sinceRevision, long revision, List<VmLine> lines) implements PeerMessage {
 
-        /** Copies the list. */
+        /** Copies the list; null becomes an empty list. */
         public VmChanges {
             lines = copy(lines);
         }
     }
 
-    /** Gossip items; {@code whole} if they end the answer to an {@link ItemsRequest}. */
+    /** Gossip items; {@code whole} marks the last message of a response to {@link ItemsRequest}. */
     record Items(List<GossipItem> items, boolean whole) implements PeerMessage {
 
-        /** Copies the list. */
+        /** Copies the list; null becomes an empty list. */
         public Items {
             items = copy(items);
         }
     }
 
-    /** Asks for all gossip items. */
+    /** Requests all gossip items. */
     record ItemsRequest() implements PeerMessage {}
 
-    /** Asks the receiver to try to reach a VM. */
+    /** Requests that the receiver probe a VM. */
     record ProbeRequest(long nonce, Vm vm) implements PeerMessage {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public ProbeRequest {
             Checks.notNull("vm", vm);
         }
     }
 
-    /** What came of a {@link ProbeRequest}. */
+    /** Result of a {@link ProbeRequest}. */
     record ProbeResult(long nonce, boolean reachable) implements PeerMessage {}
 
     private static <T> List<T> copy(List<T> list) {
@@ -159,20 +165,24 @@
     }
 
     /**
-     * A reading of the sender's hybrid logical clock, ahead of news, so that what the receiver does
-     * on the news has a greater one.
+     * A reading of the sender's hybrid logical clock, sent ahead of an update so that events the
+     * receiver records in response to the update have a later timestamp.
      */
     record ClockReading(long millis, int logical) implements PeerMessage {
         private static final int MAX_LOGICAL = 999_999_999;
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public ClockReading {
             Checks.inRange("clock.millis", millis, 0, Long.MAX_VALUE);
             Checks.inRange("clock.logical", logical, 0, MAX_LOGICAL);
         }
     }
 
-    /** Returns whether the receiver may act on this message in a way that operators see. */
+    /**
+     * Returns whether the receiver may act on this message in a way that is visible to operators.
+     *
+     * <p>The value is serialized with the message as the field {@code news}.
+     */
     default boolean isNews() {
         return this instanceof Entries
                 || this instanceof SnapshotChunk
--- a/src/main/java/org/apricotgauge/decision/gossip/PeerTransport.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/PeerTransport.java
@@ -4,30 +4,35 @@
 import org.apricotgauge.model.Address;
 
 /**
- * What a {@link GossipNode} asks of the world around it.
+ * The I/O operations that a {@link GossipNode} depends on.
  *
- * <p>Links that the node dials have positive numbers, which it picks; accepted links have negative
- * ones, which the transport picks. All calls return at once.
+ * <p>Links that the node dials have positive IDs chosen by the node; accepted links have negative
+ * IDs chosen by the transport. All calls are non-blocking.
  *
  * @param <H> a folded history
  */
 public interface PeerTransport<H> {
 
-    /** Dials; ends in {@link GossipNode#onConnected} or {@link GossipNode#onClosed}. */
+    /**
+     * Dials an address; completes with {@link GossipNode#onConnected} or {@link
+     * GossipNode#onClosed}.
+     */
     void dial(long link, Address address);
 
-    /** Queues a message; a link that is gone swallows it. */
+    /** Queues a message; it is dropped if the link is closed. */
     void send(long link, PeerMessage message);
 
-    /** Closes a link; no {@link GossipNode#onClosed} follows. */
+    /** Closes a link, without a call of {@link GossipNode#onClosed}. */
     void close(long link);
 
-    /** Writes a snapshot elsewhere; ends in {@link GossipNode#onSnapshotEncoded}. */
+    /**
+     * Encodes a snapshot on another thread; completes with {@link GossipNode#onSnapshotEncoded}.
+     */
     void encodeSnapshot(H history);
 
     /**
-     * Reads a snapshot elsewhere; ends in {@link GossipNode#onSnapshotDecoded}, with null on
-     * failure.
+     * Decodes a snapshot on another thread; completes with {@link GossipNode#onSnapshotDecoded},
+     * with null on failure.
      */
     void decodeSnapshot(List<byte[]> chunks);
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/ReadinessPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/ReadinessPolicy.java
@@ -3,28 +3,29 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Decides when a fresh node, which knows nothing, may open to callers.
+ * Decides when a new node, which starts without state, is ready to serve callers.
  *
- * <p>A stale platform, or peers on the stale side of a partition, would hand it an older version
- * than the one in force. So it asks the platform and peers in several failure domains, takes the
- * highest, and opens only once it has folded that. If part of them stay silent it opens after
- * {@code patienceMillis} on what the others said. If nobody answers it stays closed: it cannot know
- * any route, and the callers' other nodes serve.
+ * <p>A stale platform, or peers on the stale side of a partition, would provide an older version
+ * than the one in force. The node therefore queries the platform and peers in several failure
+ * domains, takes the highest position, and is ready only once it has folded the log up to it. If
+ * some of them don't respond, it becomes ready after {@code timeoutMillis} on the state of the
+ * others. Without any response it is never ready: it has no routes, and the callers' other nodes
+ * serve.
  */
 public final class ReadinessPolicy {
     private static final int REQUIRED_DOMAINS = 3;
 
     /**
-     * What the node has learned so far.
+     * What the node has observed so far.
      *
-     * @param position its log position
-     * @param highestKnownPosition the highest position that the platform or a peer showed
-     * @param platformAnswered whether the platform told its head
+     * @param position the log position of the node
+     * @param highestKnownPosition the highest position that the platform or a peer reported
+     * @param platformAnswered whether the platform has returned its head
      * @param platformFailed whether a call to the platform failed
-     * @param vmsListed whether anybody has told which VMs there are
-     * @param respondingDomains from how many failure domains a peer has answered
-     * @param knownDomains in how many failure domains other nodes are known
-     * @param elapsedMillis time since the start
+     * @param vmsListed whether a VM list has been received
+     * @param respondingDomains number of failure domains from which a peer has responded
+     * @param knownDomains number of failure domains with other known nodes
+     * @param elapsedMillis time since startup, in milliseconds
      */
     public record Observation(
             long position,
@@ -36,39 +37,42 @@
             int knownDomains,
             long elapsedMillis) {}
 
-    /** Whether to open, or what it waits for. */
+    /** Whether the node is ready, or what it waits for. */
     public enum Decision {
-        /** Open to callers. */
+        /** Ready to serve callers. */
         READY,
-        /** Somebody holds a later version; it is on its way. */
+        /** The platform or a peer has a higher position, which is being fetched. */
         CATCHING_UP,
-        /** Too few have answered so far. */
+        /** Too few sources have responded so far. */
         WAIT_FOR_RESPONSES,
-        /** Nobody has answered at all. */
+        /** No source has responded. */
         NO_RESPONSE
     }
 
     private final long mTimeoutMillis;
 
-    /** Creates a policy that waits so long for those who stay silent. */
-    public ReadinessPolicy(long patienceMillis) {
-        mTimeoutMillis = Checks.inRange("patienceMillis", patienceMillis, 0, Long.MAX_VALUE);
+    /** Creates a policy with the timeout for sources that don't respond, in milliseconds. */
+    public ReadinessPolicy(long timeoutMillis) {
+        mTimeoutMillis = Checks.inRange("timeoutMillis", timeoutMillis, 0, Long.MAX_VALUE);
     }
 
-    /** Decides on what is known now. */
-    public Decision decide(Observation seen) {
-        if (!seen.platformAnswered() && seen.respondingDomains() == 0) {
+    /** Returns the decision for an observation. */
+    public Decision decide(Observation observation) {
+        if (!observation.platformAnswered() && observation.respondingDomains() == 0) {
             return Decision.NO_RESPONSE;
         }
-        if (seen.position() < seen.highestKnownPosition()) {
+        if (observation.position() < observation.highestKnownPosition()) {
             return Decision.CATCHING_UP;
         }
-        boolean platformSettled = seen.platformAnswered() || seen.platformFailed();
-        int wanted = Math.min(REQUIRED_DOMAINS, seen.knownDomains());
-        // Before the list of VMs is here no other node is known, and "all known ones answered"
-        // would hold at once, on the word of a platform that may be stale.
-        boolean enough = platformSettled && seen.vmsListed() && seen.respondingDomains() >= wanted;
-        return enough || seen.elapsedMillis() >= mTimeoutMillis
+        boolean hasPlatformResult = observation.platformAnswered() || observation.platformFailed();
+        int requiredDomains = Math.min(REQUIRED_DOMAINS, observation.knownDomains());
+        // Before the VM list is received no other node is known, and the condition that all known
+        // domains have responded would hold at once, although the platform may be stale.
+        boolean hasEnough =
+                hasPlatformResult
+                        && observation.vmsListed()
+                        && observation.respondingDomains() >= requiredDomains;
+        return hasEnough || observation.elapsedMillis() >= mTimeoutMillis
                 ? Decision.READY
                 : Decision.WAIT_FOR_RESPONSES;
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/Replica.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Replica.java
@@ -8,10 +8,10 @@
 import org.apricotgauge.platform.LogRecord;
 
 /**
- * This node's history, with the newest records kept for peers that lag.
+ * The local replica of the history, which retains the newest records for lagging peers.
  *
- * <p>The history only moves forward. At a position that is already folded, another body or digest
- * is refused: the same version means the same digest everywhere.
+ * <p>The history only advances. At a position that is already folded, a different body or digest is
+ * rejected: the same version has the same digest on every node.
  *
  * @param <H> a folded history
  */
@@ -20,7 +20,7 @@
     private static final long MAX_RETAINED_CHARS = 8L << 20;
     private static final int MAX_DIGESTS = 16_384;
 
-    /** What came of an offer. */
+    /** Result of applying a record or a snapshot. */
     enum ApplyResult {
         APPLIED,
         KNOWN,
@@ -29,7 +29,7 @@
         UNREADABLE
     }
 
-    /** How another history stands to ours. */
+    /** Relation of another history to the local one. */
     enum Relation {
         SAME,
         BEHIND,
@@ -67,13 +67,13 @@
         return mFold.digest(mHistory);
     }
 
-    /** Returns how a history with this position and digest stands to ours, so far as we know. */
+    /** Returns the relation of a history to the local one, as far as its digest is still known. */
     Relation relation(long position, String digest) {
         if (position > position()) {
             return Relation.AHEAD;
         }
-        String ours = mDigests.get(position);
-        if (ours != null && !ours.equals(digest)) {
+        String localDigest = mDigests.get(position);
+        if (localDigest != null && !localDigest.equals(digest)) {
             return Relation.CONFLICT;
         }
         return position == position() ? Relation.SAME : Relation.BEHIND;
@@ -82,7 +82,7 @@
     /**
      * Folds a record if it is the next one.
      *
-     * @param digest the digest after it by its sender, or null if the sender gives none
+     * @param digest the sender's digest after the record, or null if the sender provides none
      */
     ApplyResult offer(LogRecord record, String digest) {
         if (record.position() > position() + 1) {
@@ -95,8 +95,8 @@
         if (next == null) {
             return ApplyResult.UNREADABLE;
         }
-        // The sender's history may differ from ours before this record. Adopting its record would
-        // mix two histories under one version, so the digest is checked before the swap.
+        // The sender's history may differ from the local one before this record. Applying its
+        // record would mix two histories under one version, so the digest is checked first.
         if (digest != null && !digest.equals(mFold.digest(next))) {
             return ApplyResult.CONFLICT;
         }
@@ -105,7 +105,7 @@
         return ApplyResult.APPLIED;
     }
 
-    /** Takes over a snapshot if it is ahead of us. */
+    /** Replaces the history by a snapshot if the snapshot is ahead. */
     ApplyResult adoptSnapshot(H snapshot, String digest) {
         if (!mFold.digest(snapshot).equals(digest)) {
             return ApplyResult.CONFLICT;
@@ -119,7 +119,7 @@
         return ApplyResult.APPLIED;
     }
 
-    /** Returns records after a position, or an empty list if some are no longer kept. */
+    /** Returns records after a position, or an empty list if some are no longer retained. */
     List<DigestedRecord> retainedAfter(long position, int maxChars) {
         List<DigestedRecord> records = new ArrayList<>();
         if (mRetained.isEmpty() || mRetained.getFirst().record().position() > position + 1) {
@@ -141,8 +141,8 @@
 
     private boolean conflictsWithHistory(LogRecord record, String digest) {
         if (digest != null) {
-            String ours = mDigests.get(record.position());
-            return ours != null && !ours.equals(digest);
+            String localDigest = mDigests.get(record.position());
+            return localDigest != null && !localDigest.equals(digest);
         }
         for (DigestedRecord entry : mRetained) {
             if (entry.record().position() == record.position()) {
@@ -155,20 +155,21 @@
     private void advanceTo(H next) {
         if (mFold.position(next) <= position()) {
             throw new IllegalStateException(
-                    "position fell from " + position() + " to " + mFold.position(next));
+                    "position decreased from " + position() + " to " + mFold.position(next));
         }
         if (mFold.version(next) < mFold.version(mHistory)) {
             throw new IllegalStateException(
-                    "version fell from "
+                    "version decreased from "
                             + mFold.version(mHistory)
                             + " to "
                             + mFold.version(next)
                             + " at position "
                             + mFold.position(next));
         }
-        String known = mDigests.putIfAbsent(mFold.position(next), mFold.digest(next));
-        if (known != null && !known.equals(mFold.digest(next))) {
-            throw new IllegalStateException("two digests at position " + mFold.position(next));
+        String existing = mDigests.putIfAbsent(mFold.position(next), mFold.digest(next));
+        if (existing != null && !existing.equals(mFold.digest(next))) {
+            throw new IllegalStateException(
+                    "conflicting digests at position " + mFold.position(next));
         }
         mHistory = next;
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/SnapshotFetch.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/SnapshotFetch.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A snapshot on its way to this node, one chunk at a time, so that it fills no queue. */
+/** A snapshot download in progress; chunks are requested one at a time to keep queues short. */
 final class SnapshotFetch {
     final long mLink;
     final String mDigest;
--- a/src/main/java/org/apricotgauge/decision/gossip/SnapshotServer.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/SnapshotServer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Serves this node's snapshot to newcomers; one encoding serves all who ask within a minute.
+ * Serves this node's snapshot to new nodes; an encoded snapshot is cached for one minute.
  *
  * @param <H> a folded history
  */
@@ -24,15 +24,15 @@
     private long mEncodingPosition;
     private String mEncodingDigest = "";
 
-    SnapshotServer(PeerTransport<H> port, Replica<H> replica) {
-        mTransport = port;
+    SnapshotServer(PeerTransport<H> transport, Replica<H> replica) {
+        mTransport = transport;
         mReplica = replica;
     }
 
-    /** Sends a chunk; position 0 asks for the first chunk of whatever is at hand. */
+    /** Sends a chunk; position 0 requests the first chunk of the cached snapshot. */
     void serve(long link, long position, int chunk) {
-        // After a burst of changes the records behind the encoding may be gone again; a newcomer
-        // would take the snapshot and still not find the way from it to the head.
+        // After a burst of changes the records that follow the cached snapshot may no longer be
+        // retained; a new node could then not catch up from the snapshot to the head of the log.
         if (mPosition < mReplica.position() && mReplica.retainedAfter(mPosition, 1).isEmpty()) {
             mChunks = List.of();
         }
@@ -60,7 +60,7 @@
     }
 
     void tick(long nowMillis) {
-        // Full size is tens of megabytes; it is not kept when nobody starts.
+        // A snapshot of full size is tens of megabytes, so it is evicted while no node starts.
         if (!mChunks.isEmpty() && nowMillis - mEncodedAtMillis > CACHE_MILLIS) {
             mChunks = List.of();
         }
--- a/src/main/java/org/apricotgauge/decision/gossip/StalenessGate.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/StalenessGate.java
@@ -5,25 +5,26 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Tells whether this process may act on what it knows, or has slept and must ask first.
+ * Decides whether this process may act on cached state, or was paused and needs a confirmation
+ * first.
  *
  * <pre>{@code
- * if (!freshness.mayAct(ticker.millis())) {
+ * if (!stalenessGate.mayAct(ticker.millis())) {
  *     return answer.notRun(RETRY_AFTER_ONE_SECOND);
  * }
  * }</pre>
  *
- * <p>A process that was paused (SIGSTOP, a frozen VM) wakes with the configuration and the list of
- * leaving targets of the moment it stopped. Acting on them, it would send work to targets that left
- * long ago. So after a gap between two ticks it waits for a peer or the platform to confirm its
- * position. If nobody answers within {@code confirmMillis} it goes on: it is then cut off, and the
- * side of a partition that still has callers serves them.
+ * <p>A process that was paused (SIGSTOP, a suspended VM) resumes with the configuration and the
+ * list of leaving targets from before the pause. Acting on them, it would send requests to targets
+ * that left long ago. After a gap between two ticks it therefore waits until a peer or the platform
+ * confirms its position. Without a response within {@code confirmationTimeoutMillis} it proceeds:
+ * it is then disconnected, and the side of a partition that still has callers serves them.
  *
- * <p>A suspended VM shows only in the time of day, since its steady clock stands still; but the
- * time of day also jumps, both ways. A jump ahead passes for a pause, and costs one question. The
- * wait for its answer is measured on the steady clock: on the other, a jump back would make a node
- * that nobody confirms refuse all work for as long as the jump is wide. Safe to share between
- * threads.
+ * <p>The suspension of a VM is visible only on the wall clock, since the monotonic clock stops
+ * meanwhile; but the wall clock also jumps in both directions. A forward jump is taken for a pause
+ * and costs one confirmation. The wait for the confirmation is measured on the monotonic clock: on
+ * the wall clock, a backward jump would make an unconfirmed node reject all requests for the length
+ * of the jump. This class is thread-safe.
  */
 public final class StalenessGate {
     private static final long NOT_RESUMED = Long.MIN_VALUE;
@@ -34,73 +35,83 @@
     private final AtomicLong mResumedAtMonotonicMillis = new AtomicLong(NOT_RESUMED);
 
     private record ClockReading(long monotonicMillis, long wallMillis) {
-        /** Returns the longer of the times that have passed on the two clocks, in milliseconds. */
+        /** Returns the longer of the times elapsed on the two clocks, in milliseconds. */
         long elapsedMillis(ClockReading later) {
             return Math.max(later.monotonicMillis - monotonicMillis, later.wallMillis - wallMillis);
         }
     }
 
     /**
-     * Creates a guard of a process with one clock, which goes on during pauses.
+     * Creates a gate for a process with one clock, which continues during pauses.
      *
-     * @param pauseMillis a longer gap between ticks counts as a pause
-     * @param confirmMillis how long to wait for a confirmation after a pause
-     * @param nowMillis present time
+     * @param pauseThresholdMillis a longer gap between ticks is a pause
+     * @param confirmationTimeoutMillis how long to wait for a confirmation after a pause
+     * @param nowMillis the current time
      */
-    public StalenessGate(long pauseMillis, long confirmMillis, long nowMillis) {
-        this(pauseMillis, confirmMillis, nowMillis, nowMillis);
+    public StalenessGate(
+            long pauseThresholdMillis, long confirmationTimeoutMillis, long nowMillis) {
+        this(pauseThresholdMillis, confirmationTimeoutMillis, nowMillis, nowMillis);
     }
 
     /**
-     * Creates a guard.
+     * Creates a gate.
      *
-     * @param pauseMillis a longer gap between ticks, on either clock, counts as a pause
-     * @param confirmMillis how long to wait for a confirmation after a pause
-     * @param steadyMillis present reading of the steady clock
-     * @param wallMillis present time of day
+     * @param pauseThresholdMillis a longer gap between ticks, on either clock, is a pause
+     * @param confirmationTimeoutMillis how long to wait for a confirmation after a pause
+     * @param monotonicMillis the current time of the monotonic clock
+     * @param wallMillis the current time of the wall clock
      */
-    public StalenessGate(long pauseMillis, long confirmMillis, long steadyMillis, long wallMillis) {
-        mPauseThresholdMillis = Checks.inRange("pauseMillis", pauseMillis, 1, Long.MAX_VALUE);
+    public StalenessGate(
+            long pauseThresholdMillis,
+            long confirmationTimeoutMillis,
+            long monotonicMillis,
+            long wallMillis) {
+        mPauseThresholdMillis =
+                Checks.inRange("pauseThresholdMillis", pauseThresholdMillis, 1, Long.MAX_VALUE);
         mConfirmationTimeoutMillis =
-                Checks.inRange("confirmMillis", confirmMillis, 0, Long.MAX_VALUE);
-        mLastTick = new AtomicReference<>(new ClockReading(steadyMillis, wallMillis));
+                Checks.inRange(
+                        "confirmationTimeoutMillis", confirmationTimeoutMillis, 0, Long.MAX_VALUE);
+        mLastTick = new AtomicReference<>(new ClockReading(monotonicMillis, wallMillis));
     }
 
-    /** Notes that the process runs, by its one clock; returns whether it woke just now. */
+    /**
+     * Records a tick of a process with one clock; returns whether the process has just resumed from
+     * a pause.
+     */
     public boolean onTick(long nowMillis) {
         return onTick(nowMillis, nowMillis);
     }
 
-    /** Notes that the process runs; returns whether it woke from a pause just now. */
-    public boolean onTick(long steadyMillis, long wallMillis) {
-        ClockReading now = new ClockReading(steadyMillis, wallMillis);
-        boolean woke = mLastTick.getAndSet(now).elapsedMillis(now) > mPauseThresholdMillis;
-        if (woke) {
-            mResumedAtMonotonicMillis.set(steadyMillis);
+    /** Records a tick; returns whether the process has just resumed from a pause. */
+    public boolean onTick(long monotonicMillis, long wallMillis) {
+        ClockReading now = new ClockReading(monotonicMillis, wallMillis);
+        boolean hasResumed = mLastTick.getAndSet(now).elapsedMillis(now) > mPauseThresholdMillis;
+        if (hasResumed) {
+            mResumedAtMonotonicMillis.set(monotonicMillis);
         }
-        return woke;
+        return hasResumed;
     }
 
-    /** Notes that somebody confirmed, in answer to a question put after the pause. */
+    /** Records a confirmation, received in response to a request sent after the pause. */
     public void onConfirmed() {
         mResumedAtMonotonicMillis.set(NOT_RESUMED);
     }
 
-    /** Returns whether old state may be acted on, by the process's one clock. */
+    /** Returns whether a process with one clock may act on cached state. */
     public boolean mayAct(long nowMillis) {
         return mayAct(nowMillis, nowMillis);
     }
 
-    /** Returns whether old state may be acted on. */
-    public boolean mayAct(long steadyMillis, long wallMillis) {
-        // This clause covers the moment after waking at which a request is read before the control
-        // thread has had its first tick.
-        if (mLastTick.get().elapsedMillis(new ClockReading(steadyMillis, wallMillis))
+    /** Returns whether the process may act on cached state. */
+    public boolean mayAct(long monotonicMillis, long wallMillis) {
+        // Covers a request that is read after a pause but before the first tick of the control
+        // thread.
+        if (mLastTick.get().elapsedMillis(new ClockReading(monotonicMillis, wallMillis))
                 > mPauseThresholdMillis) {
             return false;
         }
-        long wokeAtMillis = mResumedAtMonotonicMillis.get();
-        return wokeAtMillis == NOT_RESUMED
-                || steadyMillis - wokeAtMillis > mConfirmationTimeoutMillis;
+        long resumedAtMillis = mResumedAtMonotonicMillis.get();
+        return resumedAtMillis == NOT_RESUMED
+                || monotonicMillis - resumedAtMillis > mConfirmationTimeoutMillis;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/StateSummary.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/StateSummary.java
@@ -3,17 +3,18 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * What a node holds, in one line; rides on every heartbeat, so that anti-entropy costs no message
- * of its own.
+ * A summary of a node's state. It is part of every heartbeat, so that anti-entropy needs no
+ * separate messages.
  *
- * @param position log position of its history
- * @param digest digest of its history
- * @param vmRevision revision of its list of VMs
- * @param itemsHash hash over its liveness, leaving and watch items, independent of their order
+ * @param position log position of the node's history
+ * @param digest digest of the node's history
+ * @param vmRevision revision of the node's VM list
+ * @param itemsHash hash over the node's liveness, leaving and watch items, independent of their
+ *     order
  */
 public record StateSummary(long position, String digest, long vmRevision, long itemsHash) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public StateSummary {
         Checks.inRange("position", position, 0, Long.MAX_VALUE);
         Checks.notNull("digest", digest);
--- a/src/main/java/org/apricotgauge/decision/gossip/VmLine.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/VmLine.java
@@ -4,15 +4,15 @@
 import org.apricotgauge.model.VmStatus;
 
 /**
- * One VM as the platform's list had it at a revision.
+ * One VM in the platform's list at a revision.
  *
- * @param revision the revision of which this is the state
- * @param id name of the VM
- * @param status the line of the list; null if the VM was taken off it
+ * @param revision the revision at which the line was valid
+ * @param id the ID of the VM
+ * @param status the listed status; null if the VM was removed from the list
  */
 public record VmLine(long revision, String id, VmStatus status) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public VmLine {
         Checks.inRange("revision", revision, 0, Long.MAX_VALUE);
         Checks.id("id", id);
--- a/src/main/java/org/apricotgauge/decision/gossip/VmSync.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/VmSync.java
@@ -6,7 +6,10 @@
 import org.apricotgauge.model.VmStatus;
 import org.apricotgauge.platform.VmPage;
 
-/** Brings the platform's list of VMs to every node: announced in summaries, pulled by revision. */
+/**
+ * Replicates the platform's list of VMs to every node: its revision is announced in summaries, and
+ * peers pull the changes since their own revision.
+ */
 final class VmSync {
     private static final int MAX_LINES_PER_MESSAGE = 500;
     private static final long PULL_TIMEOUT_MILLIS = 500;
@@ -14,9 +17,9 @@
     private static final int REMOVAL_SHARE_DIVISOR = 10;
     private static final int MIN_ALLOWED_REMOVALS = 3;
 
-    /** Told which lines are news. */
+    /** Receives changes of the list. */
     interface Listener {
-        void onVmLines(List<VmLine> news, List<String> forgotten);
+        void onVmLines(List<VmLine> changed, List<String> evicted);
     }
 
     private final GossipContext mContext;
@@ -30,11 +33,11 @@
 
     VmSync(
             GossipContext context,
-            PeerTransport<?> port,
+            PeerTransport<?> transport,
             Listener listener,
             Consumer<Link> announce) {
         mContext = context;
-        mTransport = port;
+        mTransport = transport;
         mListener = listener;
         mAnnounce = announce;
     }
@@ -58,9 +61,9 @@
     void onChanges(Link link, PeerMessage.VmChanges changes, long nowMillis) {
         mPullDeadlineMillis = 0;
         long before = mTable.revision();
-        List<VmLine> news =
+        List<VmLine> changed =
                 mTable.apply(changes.sinceRevision(), changes.revision(), changes.lines());
-        notifyListener(news);
+        notifyListener(changed);
         if (mTable.revision() == before) {
             return;
         }
@@ -72,9 +75,9 @@
     }
 
     /**
-     * Takes in a page from the platform.
+     * Applies a page of the platform's list.
      *
-     * @return whether the page was as new as what we have
+     * @return whether the page is at least as recent as the local list
      */
     boolean onPublished(long sinceRevision, VmPage page, long nowMillis) {
         if (page.revision() < mTable.revision()) {
@@ -112,8 +115,8 @@
     }
 
     private boolean areRemovalsPlausible(int removed, long nowMillis) {
-        // An empty or truncated list looks like the removal of most VMs. Believed, it would take
-        // all targets from all callers at once. VMs that are truly gone are found unreachable.
+        // An empty or truncated list looks like the removal of most VMs. Applying it would remove
+        // all targets for all callers at once. VMs that were really removed become unreachable.
         if (removed == 0) {
             return true;
         }
@@ -137,10 +140,10 @@
         mTransport.send(link.mId, new PeerMessage.VmsRequest(mTable.revision()));
     }
 
-    private void notifyListener(List<VmLine> news) {
-        List<String> forgotten = mTable.evictOldRemovals();
-        if (!news.isEmpty() || !forgotten.isEmpty()) {
-            mListener.onVmLines(news, forgotten);
+    private void notifyListener(List<VmLine> changed) {
+        List<String> evicted = mTable.evictOldRemovals();
+        if (!changed.isEmpty() || !evicted.isEmpty()) {
+            mListener.onVmLines(changed, evicted);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/decision/gossip/VmTable.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/VmTable.java
@@ -8,10 +8,10 @@
 import java.util.TreeMap;
 
 /**
- * The platform's list of VMs as this node knows it, which it can hand on from any revision.
+ * The local copy of the platform's VM list, which can return the changes since any revision.
  *
- * <p>A line is labelled with the revision of which it is the state; of two lines of one VM the one
- * with the later label holds.
+ * <p>Each line carries the revision at which it was valid; of two lines of one VM, the one with the
+ * later revision wins.
  */
 final class VmTable {
     private static final int MAX_REMOVED = 20_000;
@@ -30,39 +30,39 @@
     }
 
     /**
-     * Takes in the changes between two revisions.
+     * Applies the changes between two revisions.
      *
-     * @return the lines that are news; empty if there is a gap before them or all are known
+     * @return the lines that changed the table; empty if there is a gap before them or none is new
      */
     List<VmLine> apply(long sinceRevision, long revision, List<VmLine> lines) {
-        List<VmLine> news = new ArrayList<>();
+        List<VmLine> changed = new ArrayList<>();
         if (sinceRevision > mRevision) {
-            return news;
+            return changed;
         }
         for (VmLine line : lines) {
             VmLine old = mLines.get(line.id());
             if (old == null || old.revision() < line.revision()) {
                 replace(old, line);
-                news.add(line);
+                changed.add(line);
             }
         }
         mRevision = Math.max(mRevision, revision);
-        return news;
+        return changed;
     }
 
     /** Returns at most about {@code limit} changes after a revision. */
     PeerMessage.VmChanges changesSince(long sinceRevision, int limit) {
         List<VmLine> lines = new ArrayList<>();
-        long reached = sinceRevision;
+        long lastRevision = sinceRevision;
         for (Map.Entry<Long, Map<String, VmLine>> entry :
                 mByRevision.tailMap(sinceRevision, false).entrySet()) {
-            // All lines of one revision go together: a reader that stopped in the middle of one
-            // would never be told the rest.
+            // All lines of one revision are sent together: a reader that stopped within a revision
+            // would never receive the remaining lines.
             if (!lines.isEmpty() && lines.size() + entry.getValue().size() > limit) {
-                return new PeerMessage.VmChanges(sinceRevision, reached, lines);
+                return new PeerMessage.VmChanges(sinceRevision, lastRevision, lines);
             }
             lines.addAll(entry.getValue().values());
-            reached = entry.getKey();
+            lastRevision = entry.getKey();
         }
         return new PeerMessage.VmChanges(sinceRevision, mRevision, lines);
     }
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Forgets the oldest removals beyond the bound and returns the VMs' names.
+     * Evicts the oldest removals beyond the bound and returns the IDs of their VMs.
      *
-     * <p>22,000 VMs are replaced on a day; were each remembered, state would grow without end.
+     * <p>22,000 VMs are replaced per day; without eviction, the table would grow without bound.
      */
     List<String> evictOldRemovals() {
         if (mRemovedCount <= MAX_REMOVED) {
--- a/src/main/java/org/apricotgauge/decision/gossip/VmView.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/VmView.java
@@ -8,21 +8,22 @@
 import org.pcollections.PMap;
 
 /**
- * The VMs of the site, merged from the platform's lagging list and what nodes say; immutable.
+ * An immutable view of the VMs of the site, merged from the platform's lagging list and the items
+ * that nodes publish.
  *
  * <pre>{@code
  * if (view.leaving(target.vm(), target.id())) {
- *     return; // no new work
+ *     return; // send no new requests
  * }
  * }</pre>
  *
- * <p>Each source can only make a VM or target leave sooner: it counts as leaving if the platform
- * says so, or has taken the VM off its list, or its own node said so in its present run. A VM that
- * the list doesn't show yet is known from the moment its node is heard of. An unknown VM is not
- * leaving: the list may be absent.
+ * <p>Each source can only make a VM or target leave sooner: it is leaving if the platform lists it
+ * as leaving, if the platform removed the VM from its list, or if its own node announced it in its
+ * current run. A VM that the platform doesn't list yet is known as soon as its node is observed. An
+ * unknown VM is not leaving, since the list may be unavailable.
  */
 public final class VmView {
-    /** Knows no VM. */
+    /** A view without VMs. */
     public static final VmView EMPTY = new VmView(HashTreePMap.empty());
 
     private final PMap<String, KnownVm> mVms;
@@ -31,39 +32,39 @@
         mVms = vms;
     }
 
-    /** Returns the VM, or null if no source named it. */
+    /** Returns the VM, or null if it is unknown. */
     public Vm vm(String id) {
         KnownVm known = mVms.get(id);
         return known == null ? null : known.vm();
     }
 
-    /** Returns whether the whole VM is leaving or gone. */
+    /** Returns whether the whole VM is leaving or removed. */
     public boolean leaving(String vm) {
         return leaving(vm, LeavingNotice.WHOLE_VM);
     }
 
-    /** Returns whether the target on the VM is leaving or gone. */
+    /** Returns whether the target on the VM is leaving or removed. */
     public boolean leaving(String vm, String target) {
         KnownVm known = mVms.get(vm);
         return known != null && known.leaving(target);
     }
 
     /**
-     * Returns whether nodes in several places failed to reach the VM's node for some seconds. This
-     * is about its control port, not its targets; detection decides about those.
+     * Returns whether several nodes failed to reach the VM's node for some seconds. This concerns
+     * the node's peer port only, not its targets; those are subject to outlier detection.
      */
     public boolean unreachable(String vm) {
         KnownVm known = mVms.get(vm);
         return known != null && known.unreachable();
     }
 
-    /** Returns the latest known run of the VM's node; 0 if none is known. */
+    /** Returns the latest known incarnation of the VM's node; 0 if none is known. */
     public long incarnation(String vm) {
         KnownVm known = mVms.get(vm);
         return known == null ? 0 : known.incarnation();
     }
 
-    /** Returns all VMs whose node has a control port and that are not leaving, in no order. */
+    /** Returns all VMs that have a peer port and are not leaving, in no particular order. */
     public List<Vm> nodes() {
         return mVms.values().stream()
                 .filter(known -> !known.leaving(LeavingNotice.WHOLE_VM))
@@ -72,7 +73,7 @@
                 .toList();
     }
 
-    /** Returns how many VMs are known, leaving ones included. */
+    /** Returns the number of known VMs, including leaving ones. */
     public int size() {
         return mVms.size();
     }
--- a/src/main/java/org/apricotgauge/decision/gossip/WatcherElection.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/WatcherElection.java
@@ -9,33 +9,34 @@
 import org.apricotgauge.model.Vm;
 
 /**
- * Decides which few nodes of a failure domain read the platform, by rendezvous hashing.
+ * Elects the few nodes of a failure domain that read the platform, by rendezvous hashing.
  *
  * <pre>{@code
  * WatcherElection.Role role =
  *         WatcherElection.roleOf(self, view.nodes(), view::unreachable, node::lostPlatform);
  * }</pre>
  *
- * <p>Every node works it out alone from the nodes it knows to live; no message is needed. Nodes
- * whose views differ for a moment may both watch, or for a moment fewer do; either is harmless,
- * since every other failure domain has watchers too. Two watch; when one is gone or says that it
- * lost the platform, the next in order takes over. No more than {@code CANDIDATES} ever call, so
- * that a platform that is down is not called by the whole fleet in turn.
+ * <p>Each node computes its role locally from the reachable nodes in its view, without messages.
+ * While views differ, more or fewer nodes than intended may watch; either is harmless, since every
+ * other failure domain has watchers too. Two nodes watch; when one becomes unreachable or reports
+ * that it lost the platform, the next in order takes over. At most {@link #CANDIDATES} nodes of a
+ * failure domain ever call the platform, so that an unavailable platform is not called by the whole
+ * fleet in turn.
  */
 public final class WatcherElection {
-    /** How many nodes of a failure domain watch. */
+    /** Number of nodes of a failure domain that watch the platform. */
     public static final int WATCHERS = 2;
 
-    /** How many nodes of a failure domain may call at all. */
+    /** Maximum number of nodes of a failure domain that may call the platform. */
     public static final int CANDIDATES = 6;
 
-    /** What a node does. */
+    /** The role of a node. */
     public enum Role {
         /** Watches the platform. */
         WATCH,
-        /** Lost the platform and tries it now and then. */
+        /** Lost the platform and retries it from time to time. */
         RETRY,
-        /** Leaves the platform alone and hears from peers. */
+        /** Does not call the platform and receives updates from peers. */
         PASSIVE
     }
 
@@ -46,8 +47,8 @@
      *
      * @param self the node
      * @param nodes all nodes that are not leaving; may lack the node itself
-     * @param unreachable tells of nodes that count as dead
-     * @param lostPlatform tells of nodes that said they lost the platform
+     * @param unreachable whether a node is considered unreachable
+     * @param lostPlatform whether a node reported that it lost the platform
      */
     public static Role roleOf(
             Vm self,
@@ -61,30 +62,30 @@
         if (lostPlatform.test(self.id())) {
             return Role.RETRY;
         }
-        int before = 0;
+        int activeBefore = 0;
         for (String candidate : candidates) {
             if (candidate.equals(self.id())) {
                 break;
             }
             if (!lostPlatform.test(candidate)) {
-                before++;
+                activeBefore++;
             }
         }
-        return before < WATCHERS ? Role.WATCH : Role.PASSIVE;
+        return activeBefore < WATCHERS ? Role.WATCH : Role.PASSIVE;
     }
 
     private static List<String> candidates(
             Vm self, Collection<Vm> nodes, Predicate<String> unreachable) {
-        List<String> near = new ArrayList<>();
-        near.add(self.id());
+        List<String> sameDomain = new ArrayList<>();
+        sameDomain.add(self.id());
         for (Vm vm : nodes) {
-            boolean other = !vm.id().equals(self.id());
-            boolean isNear = vm.failureDomain().equals(self.failureDomain());
-            if (other && isNear && !unreachable.test(vm.id())) {
-                near.add(vm.id());
+            boolean isOther = !vm.id().equals(self.id());
+            boolean isSameDomain = vm.failureDomain().equals(self.failureDomain());
+            if (isOther && isSameDomain && !unreachable.test(vm.id())) {
+                sameDomain.add(vm.id());
             }
         }
-        return RendezvousOrder.of(self.failureDomain(), near, Function.identity()).stream()
+        return RendezvousOrder.of(self.failureDomain(), sameDomain, Function.identity()).stream()
                 .limit(CANDIDATES)
                 .toList();
     }
--- a/src/test/java/org/apricotgauge/decision/gossip/DisseminationProperties.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/DisseminationProperties.java
@@ -12,16 +12,16 @@
 import net.jqwik.api.constraints.LongRange;
 
 /**
- * Fuzzes the dissemination against an oracle: a list, and the highest position that any node has.
- * Faults come in any order and together; the checks of every step stand in {@link
- * SimulatedGossipFleet}.
+ * Fuzzes the dissemination with faults in random order and combination against an oracle: the list
+ * of published bodies, and the highest position of any node. {@link SimulatedGossipFleet} checks
+ * the invariants after every step.
  */
 class DisseminationProperties {
     private static final int NODES = 7;
     private static final int DOMAINS = 3;
     private static final long CONVERGENCE_MILLIS = 60_000;
 
-    /** One thing that happens; {@code a} and {@code b} pick nodes. */
+    /** One step of a scenario; {@code a} and {@code b} are the indices of the nodes involved. */
     record Step(Kind kind, int a, int b) {}
 
     enum Kind {
--- a/src/test/java/org/apricotgauge/decision/gossip/GossipNodeTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/GossipNodeTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Failures of paths, peers and the platform, on a simulated network and clock. */
+/** Tests failures of network paths, peers and the platform on a simulated network and clock. */
 class GossipNodeTest {
     private static final int NODES = 9;
     private static final int DOMAINS = 3;
@@ -35,9 +35,9 @@
 
     @Test
     void stalePlatformDoesNotRollBackNodes() {
-        // Caller: a route that was changed hours ago comes back. A watcher reads version 5, the
-        // platform then fails over to a copy that stands at 2, and a watcher that asks "what is
-        // newest" would take 2 for the truth.
+        // Failure: a route that was changed hours ago is restored. A watcher reads version 5, then
+        // the platform fails over to a replica at version 2, and a watcher that applies the latest
+        // response would adopt 2.
         SimulatedGossipFleet fleet = convergedFleet();
         SimulatedGossipFleet.Node watcher = fleet.mNodes.get(0);
         for (int i = 0; i < 5; i++) {
@@ -52,48 +52,48 @@
 
     @Test
     void restartedNodeCatchesUpFromPeersWhilePlatformIsStale() {
-        // Caller: a node that was replaced serves an old version. It starts empty, the platform
-        // answers with an older head, and only peers know the version in force. It has to stay
-        // closed until it has what they have.
+        // Failure: a replacement node serves an old version. It starts without state, the platform
+        // returns an older head, and only peers have the version in force. The node must not be
+        // ready before it has caught up with them.
         SimulatedGossipFleet fleet = convergedFleet();
         for (int i = 0; i < 5; i++) {
             publishTo(fleet, fleet.mNodes.get(0));
         }
         fleet.run(1_000);
-        SimulatedGossipFleet.Node fresh = fleet.mNodes.get(4);
-        fresh.stop(true);
-        fresh.start();
-        fresh.readLog(2);
+        SimulatedGossipFleet.Node restarted = fleet.mNodes.get(4);
+        restarted.stop(true);
+        restarted.start();
+        restarted.readLog(2);
         ReadinessPolicy policy = new ReadinessPolicy(10_000);
         long startMillis = fleet.mNowMillis;
-        while (!isReady(policy, fresh, fleet.mNowMillis - startMillis)) {
+        while (!isReady(policy, restarted, fleet.mNowMillis - startMillis)) {
             fleet.run(100);
         }
-        assertThat(fresh.mGossip.position()).isEqualTo(5);
+        assertThat(restarted.mGossip.position()).isEqualTo(5);
         assertThat(fleet.mNowMillis - startMillis).isLessThan(3_000);
     }
 
     private static boolean isReady(
             ReadinessPolicy policy, SimulatedGossipFleet.Node node, long waitedMillis) {
-        GossipNode<?> machine = node.mGossip;
+        GossipNode<?> gossip = node.mGossip;
         return policy.decide(
                         new ReadinessPolicy.Observation(
-                                machine.position(),
-                                machine.highestKnownPosition(),
+                                gossip.position(),
+                                gossip.highestKnownPosition(),
                                 true,
                                 false,
-                                machine.vmRevision() > 0,
-                                machine.respondingDomains(),
-                                machine.knownDomains(),
+                                gossip.vmRevision() > 0,
+                                gossip.respondingDomains(),
+                                gossip.knownDomains(),
                                 waitedMillis))
                 == ReadinessPolicy.Decision.READY;
     }
 
     @Test
     void oneWayPartitionMarksNoNodeUnreachable() {
-        // Caller: a healthy VM gets no work any more. Frames from one node to another vanish while
-        // the reverse path works; the second hears no heartbeat, dials in vain, and without asking
-        // others it would tell the fleet that the first is dead.
+        // Failure: a healthy VM gets no more requests. Frames from one node to another are lost
+        // while the reverse path works; the second node receives no heartbeat, its dials fail, and
+        // without indirect probes it would report the first as dead.
         SimulatedGossipFleet fleet = convergedFleet();
         SimulatedGossipFleet.Node from = fleet.mNodes.get(1);
         SimulatedGossipFleet.Node to = fleet.mNodes.get(2);
@@ -112,23 +112,24 @@
 
     @Test
     void unresponsiveConnectionIsClosedAndRedialled() {
-        // Caller: one node keeps serving an old version. Something between the ends has lost track
-        // of its connections; they look open, carry nothing, and TCP tells after a quarter of an
-        // hour, while a new connection would work at once.
+        // Failure: one node keeps serving an old version. A middlebox has lost the state of its
+        // connections; they appear open, transfer nothing, and TCP reports this only after a
+        // quarter of an hour, while a new connection would work immediately.
         SimulatedGossipFleet fleet = convergedFleet();
-        SimulatedGossipFleet.Node mute = fleet.mNodes.get(3);
-        fleet.dropMessagesOnLinksOf(mute);
+        SimulatedGossipFleet.Node unresponsive = fleet.mNodes.get(3);
+        fleet.dropMessagesOnLinksOf(unresponsive);
         long position = publishTo(fleet, fleet.mNodes.get(0));
         fleet.run(8_000);
         assertThat(fleet.allAt(position)).isTrue();
-        assertThat(mute.count(GossipEvent.LINK_SILENT)).isPositive();
-        assertThat(isUnreachableForAny(fleet, mute)).isFalse();
+        assertThat(unresponsive.count(GossipEvent.LINK_SILENT)).isPositive();
+        assertThat(isUnreachableForAny(fleet, unresponsive)).isFalse();
     }
 
     @Test
     void crashedNodeIsUnreachableUntilRestart() {
-        // Caller: nothing, if the fleet knows. A VM vanishes without a word; its peers must agree
-        // within seconds, and take it in again once it has restarted.
+        // Failure: peers disagree about a dead VM, or still consider it unreachable after a
+        // restart. A VM crashes without closing its connections; all peers must mark it unreachable
+        // within seconds, and reachable again once it has restarted.
         SimulatedGossipFleet fleet = convergedFleet();
         SimulatedGossipFleet.Node dead = fleet.mNodes.get(5);
         dead.stop(true);
@@ -145,8 +146,9 @@
 
     @Test
     void partitionedSidesReconnectAfterHealing() {
-        // Caller: callers of one side see changes that those of the other never get. During a long
-        // partition each side drops the other; afterwards nobody would dial across.
+        // Failure: callers of one side see changes that callers of the other side never see. During
+        // a long partition each side marks the other unreachable; afterwards no node would dial
+        // across.
         SimulatedGossipFleet fleet = convergedFleet();
         List<SimulatedGossipFleet.Node> left = fleet.mNodes.subList(0, 4);
         List<SimulatedGossipFleet.Node> right = fleet.mNodes.subList(4, NODES);
@@ -167,64 +169,67 @@
 
     @Test
     void resumedProcessConfirmsStateBeforeActing() {
-        // Caller: a request goes to a target that left while the process slept. It wakes, its
-        // clock has moved on, and a request is read before any peer was heard.
+        // Failure: a request is sent to a target that left while the process was paused. The
+        // process resumes, its clock has advanced, and a request is read before any message of a
+        // peer.
         SimulatedGossipFleet fleet = convergedFleet();
-        SimulatedGossipFleet.Node sleeper = fleet.mNodes.get(2);
-        SimulatedGossipFleet.Node leaver = fleet.mNodes.get(7);
-        sleeper.pause();
+        SimulatedGossipFleet.Node paused = fleet.mNodes.get(2);
+        SimulatedGossipFleet.Node leaving = fleet.mNodes.get(7);
+        paused.pause();
         fleet.run(10_000);
-        leaver.mGossip.announceLeaving(LeavingNotice.WHOLE_VM, fleet.mNowMillis);
+        leaving.mGossip.announceLeaving(LeavingNotice.WHOLE_VM, fleet.mNowMillis);
         long position = publishTo(fleet, fleet.mNodes.get(0));
         fleet.run(10_000);
-        StalenessGate guard = sleeper.mGossip.stalenessGate();
-        assertThat(guard.mayAct(fleet.mNowMillis)).isFalse();
-        sleeper.resume();
-        long wokeMillis = fleet.mNowMillis;
-        while (!guard.mayAct(fleet.mNowMillis)) {
+        StalenessGate gate = paused.mGossip.stalenessGate();
+        assertThat(gate.mayAct(fleet.mNowMillis)).isFalse();
+        paused.resume();
+        long resumedMillis = fleet.mNowMillis;
+        while (!gate.mayAct(fleet.mNowMillis)) {
             fleet.run(10);
         }
-        assertThat(fleet.mNowMillis - wokeMillis).isLessThan(5_000);
-        assertThat(sleeper.mGossip.position()).isEqualTo(position);
-        assertThat(sleeper.mGossip.view().leaving(leaver.mVm.id())).isTrue();
+        assertThat(fleet.mNowMillis - resumedMillis).isLessThan(5_000);
+        assertThat(paused.mGossip.position()).isEqualTo(position);
+        assertThat(paused.mGossip.view().leaving(leaving.mVm.id())).isTrue();
     }
 
     @Test
     void isolatedResumedProcessProceedsAfterTimeout() {
-        // Caller: a whole side of a partition refuses work. A process wakes alone; if it waited for
-        // ever to be confirmed, its callers would have nobody.
+        // Failure: a whole side of a partition rejects all requests. A process resumes without
+        // reachable peers; if it waited indefinitely for a confirmation, no node would serve its
+        // callers.
         SimulatedGossipFleet fleet = convergedFleet();
-        SimulatedGossipFleet.Node sleeper = fleet.mNodes.get(2);
-        sleeper.pause();
+        SimulatedGossipFleet.Node paused = fleet.mNodes.get(2);
+        paused.pause();
         fleet.run(10_000);
         for (SimulatedGossipFleet.Node other : fleet.mNodes) {
-            fleet.block(other, sleeper);
+            fleet.block(other, paused);
         }
-        sleeper.resume();
+        paused.resume();
         fleet.run(200);
-        assertThat(sleeper.mGossip.stalenessGate().mayAct(fleet.mNowMillis)).isFalse();
+        assertThat(paused.mGossip.stalenessGate().mayAct(fleet.mNowMillis)).isFalse();
         fleet.run(6_000);
-        assertThat(sleeper.mGossip.stalenessGate().mayAct(fleet.mNowMillis)).isTrue();
+        assertThat(paused.mGossip.stalenessGate().mayAct(fleet.mNowMillis)).isTrue();
     }
 
     @Test
     void leavingNoticeReachesAllNodesAndEndsWithIncarnation() {
-        // Caller: nothing, if told in time. The platform's list lags; the node's own word must be
-        // with all peers at once, and must not outlive the run that gave it.
+        // Failure: requests go to a VM that is leaving, or a restarted VM gets none. The platform's
+        // list lags, so the node's own notice must reach all peers within 500 ms, and must expire
+        // with the run that published it.
         SimulatedGossipFleet fleet = convergedFleet();
-        SimulatedGossipFleet.Node leaver = fleet.mNodes.get(6);
-        leaver.mGossip.announceLeaving(LeavingNotice.WHOLE_VM, fleet.mNowMillis);
-        leaver.mGossip.announceLeaving("target-1", fleet.mNowMillis);
+        SimulatedGossipFleet.Node leaving = fleet.mNodes.get(6);
+        leaving.mGossip.announceLeaving(LeavingNotice.WHOLE_VM, fleet.mNowMillis);
+        leaving.mGossip.announceLeaving("target-1", fleet.mNowMillis);
         fleet.run(500);
         for (SimulatedGossipFleet.Node other : fleet.mNodes) {
-            assertThat(other.mGossip.view().leaving(leaver.mVm.id())).isTrue();
-            assertThat(other.mGossip.view().leaving(leaver.mVm.id(), "target-1")).isTrue();
+            assertThat(other.mGossip.view().leaving(leaving.mVm.id())).isTrue();
+            assertThat(other.mGossip.view().leaving(leaving.mVm.id(), "target-1")).isTrue();
         }
-        leaver.stop(false);
-        leaver.start();
+        leaving.stop(false);
+        leaving.start();
         fleet.run(5_000);
         for (SimulatedGossipFleet.Node other : fleet.mNodes) {
-            assertThat(other.mGossip.view().leaving(leaver.mVm.id())).isFalse();
+            assertThat(other.mGossip.view().leaving(leaving.mVm.id())).isFalse();
         }
     }
 }
--- a/src/test/java/org/apricotgauge/decision/gossip/NeighboursTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/NeighboursTest.java
@@ -41,9 +41,9 @@
 
     @Test
     void nodeWithOneLinkKeepsDialling() {
-        // Caller: two nodes of a thousand serve an old version until the platform is back. All
-        // start at once and the seeds are full for a while; two find each other and nobody else.
-        // Were one link enough, they would look no further and stay an island.
+        // Failure: two nodes of a thousand serve an old version until the platform recovers. All
+        // nodes start at once and the seeds have no free links for a while, so that two nodes find
+        // only each other. If one link were enough, they would stop dialling and stay isolated.
         linkFrom(vm("other", "10.0.0.2"));
         mNeighbours.dialMissing(NOW_MILLIS);
         assertThat(mDialled).containsExactly(SEED);
--- a/src/test/java/org/apricotgauge/decision/gossip/ReadinessPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/ReadinessPolicyTest.java
@@ -8,10 +8,22 @@
     private static final ReadinessPolicy POLICY = new ReadinessPolicy(10_000);
 
     private static ReadinessPolicy.Decision decide(
-            long position, long heard, boolean platform, boolean failed, int domains, long waited) {
+            long position,
+            long highestKnownPosition,
+            boolean platformAnswered,
+            boolean platformFailed,
+            int domains,
+            long elapsedMillis) {
         return POLICY.decide(
                 new ReadinessPolicy.Observation(
-                        position, heard, platform, failed, true, domains, 5, waited));
+                        position,
+                        highestKnownPosition,
+                        platformAnswered,
+                        platformFailed,
+                        true,
+                        domains,
+                        5,
+                        elapsedMillis));
     }
 
     @Test
@@ -26,8 +38,8 @@
 
     @Test
     void waitsWhileVmListIsUnknown() {
-        // Caller: a fresh node serves an old version. Only the platform, which is stale, has
-        // answered yet; no VM is known, so no peer is missed.
+        // Failure: a new node serves an old version. Only the platform, which is stale, has
+        // responded so far; no VM is known, so the responses of all known peers seem complete.
         ReadinessPolicy.Observation early =
                 new ReadinessPolicy.Observation(2, 2, true, false, false, 0, 0, 100);
         assertThat(POLICY.decide(early)).isEqualTo(ReadinessPolicy.Decision.WAIT_FOR_RESPONSES);
--- a/src/test/java/org/apricotgauge/decision/gossip/ReplicaTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/ReplicaTest.java
@@ -19,8 +19,8 @@
 
     @Test
     void rejectsDifferentBodyAtKnownPosition() {
-        // Caller: two nodes answer differently at "the same" version. A platform that flaps between
-        // two copies showed another body at position 2 than the one in force here.
+        // Failure: two nodes respond differently at the same version. A platform that flaps between
+        // two replicas returned a different body at position 2 than the one in force locally.
         Replica<ChainFold.Chain> replica = of("a", "b");
         assertThat(replica.offer(new LogRecord(2, "other"), null))
                 .isEqualTo(Replica.ApplyResult.CONFLICT);
@@ -31,13 +31,14 @@
 
     @Test
     void rejectsNextRecordOfDivergentHistory() {
-        // Caller: as above, one step later. A peer whose history differs at position 1 sends the
-        // record at 2; folded here it would make a third history that nobody else has.
-        Replica<ChainFold.Chain> ours = of("a");
-        Replica<ChainFold.Chain> theirs = of("other", "b");
-        assertThat(ours.offer(new LogRecord(2, "b"), theirs.digest()))
+        // Failure: two nodes respond differently at the same version. A peer whose history differs
+        // at position 1 sends the record at 2; folded locally, it would produce a third history
+        // that no other node has.
+        Replica<ChainFold.Chain> local = of("a");
+        Replica<ChainFold.Chain> remote = of("other", "b");
+        assertThat(local.offer(new LogRecord(2, "b"), remote.digest()))
                 .isEqualTo(Replica.ApplyResult.CONFLICT);
-        assertThat(ours.history()).isEqualTo(of("a").history());
+        assertThat(local.history()).isEqualTo(of("a").history());
     }
 
     @Test
--- a/src/test/java/org/apricotgauge/decision/gossip/SimulatedGossipFleet.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/SimulatedGossipFleet.java
@@ -19,11 +19,11 @@
 import org.apricotgauge.platform.VmPage;
 
 /**
- * Nodes on a network and a clock of this test's own: loss, delay, duplication, one-way cuts, silent
- * connections, pauses and restarts, all from one seed.
+ * A simulated fleet with its own network and clock: loss, delay, duplication, one-way partitions,
+ * unresponsive connections, pauses and restarts, all reproducible from one seed.
  *
- * <p>The oracle is the list of published bodies: after every event each node's digest must be that
- * of the list up to its position, and no run of a node may move back.
+ * <p>The oracle is the list of published bodies: after every event, each node's digest must match
+ * the list up to its position, and the position must not decrease within one run of a node.
  */
 final class SimulatedGossipFleet {
     private static final long TICK_MILLIS = 100;
@@ -32,7 +32,7 @@
 
     private record Event(long atMillis, long order, Runnable action) {}
 
-    /** One connection; either end may be gone. */
+    /** One connection; either end may be closed. */
     private static final class Connection {
         final Node mDialler;
         final long mDiallerLink;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** One node over all its runs. */
+    /** One node across its restarts. */
     final class Node implements PeerTransport<ChainFold.Chain>, GossipListener<ChainFold.Chain> {
         final Vm mVm;
         final Map<GossipEvent, Integer> mEvents = new EnumMap<>(GossipEvent.class);
@@ -82,16 +82,16 @@
             scheduleTick(mIncarnation);
         }
 
-        /** Ends the run; with {@code silently} the peers' ends of its links don't hear of it. */
+        /** Stops the run; with {@code silently} its peers don't receive the end of their links. */
         void stop(boolean silently) {
             mIncarnation++;
             mGossip = null;
             mDeferred.clear();
-            for (Connection wire : List.copyOf(mConnections.values())) {
+            for (Connection connection : List.copyOf(mConnections.values())) {
                 if (silently) {
-                    wire.mDropsMessages = true;
+                    connection.mDropsMessages = true;
                 } else {
-                    closeOtherEnd(wire, this);
+                    closeOtherEnd(connection, this);
                 }
             }
             mConnections.clear();
@@ -115,16 +115,16 @@
             return mGossip != null;
         }
 
-        /** Reads the platform as a watcher would. */
+        /** Applies the platform's log up to a head, as a watcher does. */
         boolean readLog(long visibleHead) {
             long from = mGossip.position() + 1;
             List<LogRecord> page = new ArrayList<>();
             for (long p = from; p <= visibleHead; p++) {
                 page.add(new LogRecord(p, mLog.get((int) (p - 1))));
             }
-            boolean fresh = mGossip.onPublished(new LogPage(visibleHead, page));
+            boolean isCurrent = mGossip.onPublished(new LogPage(visibleHead, page));
             check();
-            return fresh;
+            return isCurrent;
         }
 
         void readVms() {
@@ -135,31 +135,31 @@
 
         @Override
         public void dial(long link, Address address) {
-            Connection wire = new Connection(this, link);
-            mConnections.put(link, wire);
+            Connection connection = new Connection(this, link);
+            mConnections.put(link, connection);
             Node target = mByPort.get(address.port());
-            schedule(delay(), () -> connect(wire, target));
+            schedule(delay(), () -> connect(connection, target));
         }
 
         @Override
         public void send(long link, PeerMessage message) {
-            Connection wire = mConnections.get(link);
-            if (wire == null || wire.mAcceptor == null) {
+            Connection connection = mConnections.get(link);
+            if (connection == null || connection.mAcceptor == null) {
                 return;
             }
-            Node to = wire.mDialler == this ? wire.mAcceptor : wire.mDialler;
+            Node to = connection.mDialler == this ? connection.mAcceptor : connection.mDialler;
             int copies = isLost(message) ? 0 : isDuplicated(message) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 long delayMillis = mReorder && !isHandshake(message) ? delay() : 1;
-                schedule(delayMillis, () -> deliver(wire, this, to, message));
+                schedule(delayMillis, () -> deliver(connection, this, to, message));
             }
         }
 
         @Override
         public void close(long link) {
-            Connection wire = mConnections.remove(link);
-            if (wire != null) {
-                closeOtherEnd(wire, this);
+            Connection connection = mConnections.remove(link);
+            if (connection != null) {
+                closeOtherEnd(connection, this);
             }
         }
 
@@ -198,24 +198,25 @@
         private void check() {
             ChainFold.Chain history = mGossip.history();
             if (history.position() < mHighestPosition) {
-                throw new AssertionError(mVm.id() + " fell back to " + history);
+                throw new AssertionError(mVm.id() + " decreased its position to " + history);
             }
             if (!history.equals(mOracle.get((int) history.position()))) {
-                throw new AssertionError(mVm.id() + " differs from the list at " + history);
+                throw new AssertionError(
+                        mVm.id() + " differs from the published list at " + history);
             }
             mHighestPosition = history.position();
         }
 
-        private void scheduleTick(long run) {
+        private void scheduleTick(long incarnation) {
             schedule(
                     TICK_MILLIS,
                     () -> {
-                        if (run == mIncarnation) {
+                        if (incarnation == mIncarnation) {
                             if (!mPaused) {
                                 mGossip.tick(mNowMillis);
                                 check();
                             }
-                            scheduleTick(run);
+                            scheduleTick(incarnation);
                         }
                     });
         }
@@ -260,7 +261,7 @@
         return mLog.size();
     }
 
-    /** Lets frames of one way vanish. */
+    /** Drops all messages in one direction. */
     void block(Node from, Node to) {
         mBlockedPaths.add(from.mVm.id() + '>' + to.mVm.id());
     }
@@ -270,9 +271,9 @@
         mLossShare = 0;
     }
 
-    /** Makes all present links of a node silent for good, while new ones work. */
+    /** Drops all messages on the current links of a node permanently, while new links work. */
     void dropMessagesOnLinksOf(Node node) {
-        node.mConnections.values().forEach(wire -> wire.mDropsMessages = true);
+        node.mConnections.values().forEach(connection -> connection.mDropsMessages = true);
     }
 
     long highestPosition() {
@@ -315,61 +316,64 @@
         return text.toString();
     }
 
-    private void connect(Connection wire, Node target) {
-        boolean reached =
-                target != null && target.isRunning() && !isBlockedBetween(wire.mDialler, target);
-        if (!reached) {
+    private void connect(Connection connection, Node target) {
+        boolean isReached =
+                target != null
+                        && target.isRunning()
+                        && !isBlockedBetween(connection.mDialler, target);
+        if (!isReached) {
             if (target == null || !target.isRunning()) {
-                disconnect(wire, wire.mDialler, wire.mDiallerLink);
+                disconnect(connection, connection.mDialler, connection.mDiallerLink);
             }
             return;
         }
-        wire.mAcceptor = target;
-        wire.mAcceptorLink = target.mNextAccepted--;
-        target.mConnections.put(wire.mAcceptorLink, wire);
-        run(target, () -> target.mGossip.onAccepted(wire.mAcceptorLink, mNowMillis));
-        Node dialler = wire.mDialler;
+        connection.mAcceptor = target;
+        connection.mAcceptorLink = target.mNextAccepted--;
+        target.mConnections.put(connection.mAcceptorLink, connection);
+        run(target, () -> target.mGossip.onAccepted(connection.mAcceptorLink, mNowMillis));
+        Node dialler = connection.mDialler;
         schedule(
                 1,
                 () -> {
-                    if (dialler.mConnections.get(wire.mDiallerLink) == wire) {
-                        run(dialler, () -> dialler.mGossip.onConnected(wire.mDiallerLink));
+                    if (dialler.mConnections.get(connection.mDiallerLink) == connection) {
+                        run(dialler, () -> dialler.mGossip.onConnected(connection.mDiallerLink));
                     }
                 });
     }
 
-    private void deliver(Connection wire, Node from, Node to, PeerMessage message) {
-        long link = to == wire.mDialler ? wire.mDiallerLink : wire.mAcceptorLink;
-        boolean cut = mBlockedPaths.contains(from.mVm.id() + '>' + to.mVm.id());
-        if (!cut && !wire.mDropsMessages && to.mConnections.get(link) == wire) {
+    private void deliver(Connection connection, Node from, Node to, PeerMessage message) {
+        long link = to == connection.mDialler ? connection.mDiallerLink : connection.mAcceptorLink;
+        boolean isBlocked = mBlockedPaths.contains(from.mVm.id() + '>' + to.mVm.id());
+        if (!isBlocked && !connection.mDropsMessages && to.mConnections.get(link) == connection) {
             run(to, () -> to.mGossip.onMessage(link, message, mNowMillis));
         }
     }
 
-    private void closeOtherEnd(Connection wire, Node by) {
-        if (wire.mAcceptor == null || wire.mDropsMessages) {
+    private void closeOtherEnd(Connection connection, Node by) {
+        if (connection.mAcceptor == null || connection.mDropsMessages) {
             return;
         }
-        Node other = by == wire.mDialler ? wire.mAcceptor : wire.mDialler;
-        long link = other == wire.mDialler ? wire.mDiallerLink : wire.mAcceptorLink;
-        schedule(1, () -> disconnect(wire, other, link));
+        Node other = by == connection.mDialler ? connection.mAcceptor : connection.mDialler;
+        long link =
+                other == connection.mDialler ? connection.mDiallerLink : connection.mAcceptorLink;
+        schedule(1, () -> disconnect(connection, other, link));
     }
 
-    private void disconnect(Connection wire, Node node, long link) {
-        if (node.mConnections.remove(link, wire)) {
+    private void disconnect(Connection connection, Node node, long link) {
+        if (node.mConnections.remove(link, connection)) {
             run(node, () -> node.mGossip.onClosed(link, mNowMillis));
         }
     }
 
-    /** Runs what reaches a node, unless it is down; a paused one gets it when it wakes. */
-    private static void run(Node node, Runnable body) {
+    /** Runs an action on a node unless it is stopped; defers it while the node is paused. */
+    private static void run(Node node, Runnable action) {
         if (!node.isRunning()) {
             return;
         }
         if (node.mPaused) {
-            node.mDeferred.add(() -> run(node, body));
+            node.mDeferred.add(() -> run(node, action));
         } else {
-            body.run();
+            action.run();
         }
     }
 
@@ -378,8 +382,8 @@
                 || mBlockedPaths.contains(other.mVm.id() + '>' + one.mVm.id());
     }
 
-    private void schedule(long millis, Runnable body) {
-        mEvents.add(new Event(mNowMillis + millis, mOrder++, body));
+    private void schedule(long delayMillis, Runnable action) {
+        mEvents.add(new Event(mNowMillis + delayMillis, mOrder++, action));
     }
 
     private long delay() {
--- a/src/test/java/org/apricotgauge/decision/gossip/StalenessGateTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/StalenessGateTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A process whose clocks stand still, go on, or jump. */
+/** Tests a process whose clocks stop, continue, or jump. */
 class StalenessGateTest {
     private static final long PAUSE_MILLIS = 1_500;
     private static final long CONFIRMATION_MILLIS = 1_000;
@@ -24,9 +24,9 @@
 
     @Test
     void backwardWallClockJumpDoesNotExtendWait() {
-        // Callers of a node that nobody can confirm: the time of day jumps ahead, which passes for
-        // a pause, and later back again. Measured on it, the node would refuse everything until it
-        // comes to the same time of day once more; by the steady clock, it waits its second.
+        // Failure: a node that no peer can confirm rejects all requests. The wall clock jumps
+        // forward, which is taken for a pause, and later back; a wait measured on it would last
+        // until the wall clock reaches the same time again, instead of one second.
         mGate.onTick(100, WALL_START_MILLIS + 3_600_000);
         assertThat(mGate.mayAct(200, WALL_START_MILLIS + 3_600_100)).isFalse();
 
--- a/src/test/java/org/apricotgauge/decision/gossip/VmSyncTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/VmSyncTest.java
@@ -26,7 +26,7 @@
             new VmSync(
                     mContext,
                     null,
-                    (news, forgotten) -> news.forEach(line -> mView = mView.withLine(line)),
+                    (changed, evicted) -> changed.forEach(line -> mView = mView.withLine(line)),
                     source -> {});
 
     private static Vm vm(int i) {
@@ -49,8 +49,8 @@
 
     @Test
     void ignoresListThatRemovesMostVms() {
-        // Caller: every request is refused for want of targets. The platform's list is briefly
-        // empty, which reads as the removal of all VMs.
+        // Failure: all requests are rejected for lack of targets. The platform's list is briefly
+        // empty, which looks like the removal of all VMs.
         publishFortyVms();
         List<String> all = IntStream.range(0, 40).mapToObj(i -> "vm" + i).toList();
         publish(1, 2, List.of(), all);
@@ -79,7 +79,8 @@
 
     @Test
     void laggingListDoesNotRevokeLeavingNotice() {
-        // Caller: work goes to a VM that said it is leaving, because the list still says LIVE.
+        // Failure: requests go to a VM that announced it is leaving, since the list still says
+        // LIVE.
         publishFortyVms();
         mView = mView.withAlive(vm(3), 7).withNotice(new LeavingNotice("vm3", "", 7));
         publish(1, 2, List.of(status(3, VmStatus.State.LIVE)), List.of());
--- a/src/test/java/org/apricotgauge/decision/gossip/WatcherElectionTest.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/WatcherElectionTest.java
@@ -50,25 +50,26 @@
 
     @Test
     void nextCandidateReplacesUnreachableWatcher() {
-        // Caller: changes stop coming to a failure domain. Both of its watchers are gone, one dead
-        // and one cut off from the platform.
+        // Failure: a failure domain receives no more changes. Both of its watchers have failed, one
+        // is dead and one disconnected from the platform.
         List<Vm> fleet = domain(fleet(600), "d1");
         List<Vm> first = withRole(WatcherElection.Role.WATCH, fleet, id -> false, id -> false);
         String dead = first.get(0).id();
-        String cutOff = first.get(1).id();
-        List<Vm> next = withRole(WatcherElection.Role.WATCH, fleet, dead::equals, cutOff::equals);
+        String disconnected = first.get(1).id();
+        List<Vm> next =
+                withRole(WatcherElection.Role.WATCH, fleet, dead::equals, disconnected::equals);
         assertThat(next).hasSize(WatcherElection.WATCHERS).doesNotContainAnyElementsOf(first);
     }
 
     @Test
     void unavailablePlatformIsRetriedByFewNodes() {
-        // Platform: it comes back and is called by the whole fleet at once. Each watcher that loses
-        // it hands over to the next until all 590 nodes of a domain have tried.
+        // Failure: a recovering platform is called by the whole fleet at once. Each watcher that
+        // loses it is replaced by the next node, until all 590 nodes of a domain have called it.
         List<Vm> fleet = domain(fleet(NODES), "d2");
         Set<String> lost = new HashSet<>();
-        int before = -1;
-        while (lost.size() > before) {
-            before = lost.size();
+        int lostBefore = -1;
+        while (lost.size() > lostBefore) {
+            lostBefore = lost.size();
             withRole(WatcherElection.Role.WATCH, fleet, id -> false, lost::contains)
                     .forEach(vm -> lost.add(vm.id()));
         }
