--- a/src/main/java/org/apricotgauge/decision/access/AccessPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/access/AccessPolicy.java
@@ -6,22 +6,22 @@
 import org.apricotgauge.model.Route;
 
 /**
- * Decides whether a request may come in, by the key that it brings.
+ * Decides whether a request is allowed, by its API key.
  *
  * <pre>{@code
  * Access access = AccessPolicy.decide(table.configuration(), route, credentials);
  * }</pre>
  *
- * <p>A configuration in which no member has a key lets everybody in. With keys, a request needs one
- * unless its route is open. A key that nobody has is refused on open routes too: its caller
- * believes to be a member, and would be served as nobody. Asked for each request, so that a key
- * that is removed ends on connections that are open already.
+ * <p>If no member has a key in the configuration, every request is allowed. Otherwise a request
+ * needs a key unless its route is open. An unknown key is denied on open routes too: its caller
+ * assumes to be a member, and would be served as an anonymous caller. Called for each request, so
+ * that a removed key stops working on connections that are already open.
  */
 public final class AccessPolicy {
 
     private AccessPolicy() {}
 
-    /** Decides about one request. */
+    /** Decides on one request. */
     public static Access decide(Configuration configuration, Route route, Credentials credentials) {
         if (!configuration.hasKeys()) {
             return new Access.Granted(Optional.empty());
--- a/src/main/java/org/apricotgauge/decision/access/Credentials.java
+++ b/src/main/java/org/apricotgauge/decision/access/Credentials.java
@@ -3,28 +3,28 @@
 import org.apricotgauge.model.Checks;
 import org.apricotgauge.model.KeyDigest;
 
-/** What a request brings to show whom it comes from. */
+/** The credentials of a request, which show the member that it comes from. */
 public sealed interface Credentials {
-    /** The request brings nothing. */
+    /** The request has no credentials. */
     Credentials NONE = new None();
 
-    /** The request brings something that is no single API key. */
+    /** The request has credentials that are not a single API key. */
     Credentials UNREADABLE = new Unreadable();
 
-    /** Returns the credentials of a request that brings a key. */
+    /** Returns the credentials of a request with an API key. */
     static Credentials ofKey(KeyDigest key) {
         return new Key(key);
     }
 
-    /** Nothing. */
+    /** No credentials. */
     record None() implements Credentials {}
 
-    /** Something that is no single API key. */
+    /** Credentials that are not a single API key. */
     record Unreadable() implements Credentials {}
 
     /** An API key. */
     record Key(KeyDigest digest) implements Credentials {
-        /** Checks the part. */
+        /** Validates the component. */
         public Key {
             Checks.notNull("digest", digest);
         }
--- a/src/main/java/org/apricotgauge/decision/access/package-info.java
+++ b/src/main/java/org/apricotgauge/decision/access/package-info.java
@@ -1,2 +1,2 @@
-/** Who may ask: which member a request comes from, and whether it may come at all. */
+/** Access control: decides which member a request comes from, and whether it is allowed. */
 package org.apricotgauge.decision.access;
--- a/src/main/java/org/apricotgauge/decision/detection/AlternativeHypothesis.java
+++ b/src/main/java/org/apricotgauge/decision/detection/AlternativeHypothesis.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * One way of being sick that a sequential test looks for.
+ * One kind of degradation that a sequential test detects.
  *
- * @param name what it is, for the evidence text
- * @param kind whether it is about failures or service time
- * @param transform makes the sick target's law of categories from the pool's
+ * @param name description for the evidence text
+ * @param kind whether it concerns failures or service time
+ * @param transform derives a degraded target's distribution over the categories from the pool's
  */
 record AlternativeHypothesis(String name, Kind kind, Transform transform) {
-    /** The alternatives that are tested side by side. */
+    /** The alternatives that are tested in parallel. */
     static final List<AlternativeHypothesis> ALL =
             List.of(
                     failing("failing 5 of 100", 0.05),
@@ -22,18 +22,18 @@
                     slow("slow 10 times", 1, 6, 10),
                     slow("straggling in 10 of 100", 0.1, 7, 10));
 
-    /** How far the failure probability of an alternative lies above the pool's, at least. */
+    /** Minimum ratio of an alternative's failure probability to the pool's. */
     private static final double MIN_FAILURE_RATIO = 4;
 
     private static final double MAX_FAILURE_PROBABILITY = 0.95;
 
-    /** What an alternative is about. */
+    /** The symptom that an alternative concerns. */
     enum Kind {
         FAILURE,
         SLOWNESS
     }
 
-    /** Makes a sick target's law from the pool's; both are probabilities of the categories. */
+    /** Derives a degraded target's distribution over the categories from the pool's. */
     @FunctionalInterface
     interface Transform {
         double[] apply(double[] pool);
@@ -55,26 +55,26 @@
                         MAX_FAILURE_PROBABILITY,
                         Math.max(probability, MIN_FAILURE_RATIO * pool[Category.FAILURE]));
         double rest = (1 - failure) / (1 - pool[Category.FAILURE]);
-        double[] sick = new double[Category.COUNT];
+        double[] degraded = new double[Category.COUNT];
         for (int bin = 0; bin < LatencyBins.COUNT; bin++) {
-            sick[bin] = pool[bin] * rest;
+            degraded[bin] = pool[bin] * rest;
         }
-        sick[Category.FAILURE] = failure;
-        return sick;
+        degraded[Category.FAILURE] = failure;
+        return degraded;
     }
 
-    /** Moves a share of the answers by each number of bins of the range, in equal parts. */
+    /** Shifts a share of the answers to slower bins, in equal parts for each shift of the range. */
     private static double[] slowDistribution(
             double[] pool, double share, int fromBins, int toBins) {
-        double[] sick = new double[Category.COUNT];
+        double[] degraded = new double[Category.COUNT];
         double part = share / (toBins - fromBins + 1);
         for (int bin = 0; bin < LatencyBins.COUNT; bin++) {
-            sick[bin] += pool[bin] * (1 - share);
+            degraded[bin] += pool[bin] * (1 - share);
             for (int shift = fromBins; shift <= toBins; shift++) {
-                sick[Math.min(LatencyBins.COUNT - 1, bin + shift)] += pool[bin] * part;
+                degraded[Math.min(LatencyBins.COUNT - 1, bin + shift)] += pool[bin] * part;
             }
         }
-        sick[Category.FAILURE] = pool[Category.FAILURE];
-        return sick;
+        degraded[Category.FAILURE] = pool[Category.FAILURE];
+        return degraded;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/ConfiguredTargets.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ConfiguredTargets.java
@@ -6,25 +6,27 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * The configured targets of one service, as the deciding node knows them now.
+ * The configured targets of one service, as currently known to the deciding node.
  *
  * <pre>{@code
- * new Membership(List.of(new Membership.Entry("t1", 3, TargetPresence.PRESENT)));
+ * new ConfiguredTargets(
+ *     List.of(new ConfiguredTargets.ConfiguredTarget("t1", 3, TargetPresence.PRESENT)));
  * }</pre>
  *
- * <p>Every configured target is listed, also a dead one: the floor is a share of all of them.
+ * <p>Every configured target is listed, also a terminated one, as the floor is a share of all of
+ * them.
  *
  * @param targets one for each configured target, each id once
  */
 public record ConfiguredTargets(List<ConfiguredTarget> targets) {
-    /** Copies the list and refuses a target that is listed twice. */
+    /** Copies the list and rejects a target that is listed twice. */
     public ConfiguredTargets {
-        targets = List.copyOf(Checks.notNull("membership.entries", targets));
+        targets = List.copyOf(Checks.notNull("configuredTargets.targets", targets));
         Set<String> ids = new HashSet<>();
-        for (ConfiguredTarget entry : targets) {
-            if (!ids.add(entry.targetId())) {
+        for (ConfiguredTarget target : targets) {
+            if (!ids.add(target.targetId())) {
                 throw new IllegalArgumentException(
-                        "membership.entries lists target " + entry.targetId() + " twice");
+                        "configuredTargets.targets lists target " + target.targetId() + " twice");
             }
         }
     }
@@ -34,7 +36,7 @@
         return targets.stream().mapToInt(ConfiguredTarget::slots).sum();
     }
 
-    /** Returns the slots of the targets that take work in full. */
+    /** Returns the slots of the targets that take full load. */
     public int presentSlots() {
         return targets.stream()
                 .filter(ConfiguredTarget::isPresent)
@@ -46,15 +48,15 @@
      * One configured target.
      *
      * @param targetId its id
-     * @param slots how many requests it runs at a time
-     * @param presence whether it can take work
+     * @param slots number of requests that it runs at a time
+     * @param presence whether it can take requests
      */
     public record ConfiguredTarget(String targetId, int slots, TargetPresence presence) {
-        /** Checks the parts. */
+        /** Validates the components. */
         public ConfiguredTarget {
-            Checks.notNull("entry.targetId", targetId);
-            Checks.inRange("entry.slots", slots, 1, Integer.MAX_VALUE);
-            Checks.notNull("entry.presence", presence);
+            Checks.notNull("configuredTarget.targetId", targetId);
+            Checks.inRange("configuredTarget.slots", slots, 1, Integer.MAX_VALUE);
+            Checks.notNull("configuredTarget.presence", presence);
         }
 
         boolean isPresent() {
--- a/src/main/java/org/apricotgauge/decision/detection/DominantFailureKey.java
+++ b/src/main/java/org/apricotgauge/decision/detection/DominantFailureKey.java
@@ -1,10 +1,10 @@
 package org.apricotgauge.decision.detection;
 
 /**
- * Tells whether most of a target's failures are those of one route and member.
+ * Detects whether most of a target's failures are those of one route and member.
  *
- * <p>It keeps the majority candidate of Boyer and Moore (1981), so that a target with thousands of
- * members costs three numbers.
+ * <p>Uses the majority vote of Boyer and Moore (1981), so that a target with thousands of members
+ * needs only three numbers.
  */
 final class DominantFailureKey {
     private static final int MIN_FAILURES = 3;
--- a/src/main/java/org/apricotgauge/decision/detection/EjectionVerdicts.java
+++ b/src/main/java/org/apricotgauge/decision/detection/EjectionVerdicts.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * The verdicts on all configured targets of a service, from one decision.
+ * The verdicts of one decision on all configured targets of a service.
  *
  * <pre>{@code
  * if (verdicts.isEligible("t1")) { send(...); }
  * }</pre>
  *
- * <p>Immutable: publish it by an atomic reference and read it once for each request.
+ * <p>Immutable: publish it by an atomic reference and read it once per request.
  *
- * @param timeMillis when it was decided
+ * @param timeMillis time of the decision
  * @param byTarget verdict of each configured target
- * @param floorSlots the floor that held at the decision
+ * @param floorSlots the floor at the decision, in slots
  * @param eligibleSlots slots of the present targets that are not ejected
- * @param probesDue targets of which one repeatable request should be sent now, if the entries'
- *     common pause allows; at most one a decision
+ * @param probesDue targets to which one idempotent request should be sent now as a probe, if the
+ *     probe interval that all entries share allows it; at most one per decision
  */
 public record EjectionVerdicts(
         long timeMillis,
@@ -25,23 +25,23 @@
         int floorSlots,
         int eligibleSlots,
         List<String> probesDue) {
-    /** Copies the parts. */
+    /** Copies the collections. */
     public EjectionVerdicts {
         byTarget = Map.copyOf(byTarget);
         probesDue = List.copyOf(probesDue);
     }
 
     /**
-     * Returns whether a target may get ordinary work as far as detection goes.
+     * Returns whether detection allows ordinary requests to a target.
      *
-     * <p>An unknown target is eligible: without evidence nobody is ejected.
+     * <p>An unknown target is eligible, as no target is ejected without evidence.
      */
     public boolean isEligible(String targetId) {
         EjectionVerdict verdict = byTarget.get(targetId);
         return verdict == null || verdict.isEligible();
     }
 
-    /** Returns the share of its usual work that a target should get, from 0 to 1. */
+    /** Returns the share of its usual load that a target should get, from 0 to 1. */
     public double weight(String targetId) {
         EjectionVerdict verdict = byTarget.get(targetId);
         return verdict == null ? 1 : verdict.weight();
--- a/src/main/java/org/apricotgauge/decision/detection/EvidenceView.java
+++ b/src/main/java/org/apricotgauge/decision/detection/EvidenceView.java
@@ -7,10 +7,10 @@
 import org.apricotgauge.model.DetectionOdds;
 
 /**
- * The targets of a service as seen from one place, tested against each other.
+ * The targets of a service as observed from one point, tested against each other.
  *
- * <p>Targets are compared within one view only. So a sick or far entry, to which every target looks
- * slow, has nothing to say against any one of them.
+ * <p>Targets are compared within one view only. So a degraded or distant entry, to which every
+ * target looks slow, yields no evidence against any one of them.
  */
 final class EvidenceView {
     private static final long REFRESH_MILLIS = 60_000;
@@ -26,7 +26,7 @@
     private static final double RATE_TIME_CONSTANT_MILLIS = 60_000;
     private static final double INITIAL_RATE_PER_SECOND = 10;
 
-    /** A target is tested in two views at a time, of the guards and of this entry. */
+    /** A target is tested in two views at a time, that of the guards and that of this entry. */
     private static final int TESTS = 2 * ScoreTable.TESTS;
 
     private DetectionOdds mOdds;
@@ -52,7 +52,7 @@
         return mThresholdNats;
     }
 
-    /** Takes in one sample; returns whether a target in service has crossed the threshold. */
+    /** Adds one sample; returns whether its target is in service and has crossed the threshold. */
     boolean add(String targetId, int category, long nowMillis) {
         TargetStream stream = streamFor(targetId, nowMillis);
         stream.add(category, mSamples, nowMillis);
@@ -60,7 +60,7 @@
         return stream.isTested() && stream.maxNats() >= mThresholdNats;
     }
 
-    /** Takes in samples whose order is not known. */
+    /** Adds samples whose order is not known. */
     void addBatch(String targetId, int[] counts, long nowMillis) {
         TargetStream stream = streamFor(targetId, nowMillis);
         long before = stream.samples();
@@ -83,19 +83,19 @@
         return stream;
     }
 
-    /** Returns the stream of a target, or null where the view has none. */
+    /** Returns the stream of a target, or null if the view has none. */
     TargetStream stream(String targetId) {
         return mStreams.get(targetId);
     }
 
-    /** Forgets the targets that are no longer configured. */
+    /** Removes the targets that are no longer configured. */
     void retain(Set<String> targetIds) {
         mStreams.keySet().retainAll(targetIds);
     }
 
     /**
-     * Returns the service time that nine hundred and ninety-nine in a thousand samples keep, or
-     * {@link Long#MAX_VALUE} while there are too few.
+     * Returns the 99.9th percentile of the service time in microseconds, as the upper bound of its
+     * bin, or {@link Long#MAX_VALUE} while there are too few samples.
      */
     long p999Micros() {
         double[] counts = new double[Category.COUNT];
@@ -123,21 +123,24 @@
         }
     }
 
-    /** Returns the strongest evidence against a target, as its fellows' last samples leave it. */
+    /**
+     * Returns the strongest evidence against a target that remains after a comparison with the
+     * recent samples of its reference targets.
+     */
     Finding finding(String targetId) {
         TargetStream stream = mStreams.get(targetId);
         if (stream == null) {
             return Finding.none(mThresholdNats);
         }
         stream.capAt(mThresholdNats * MAX_THRESHOLD_RATIO);
-        int[][] lastCounts = null;
+        int[][] recentCounts = null;
         Finding strongest = Finding.none(mThresholdNats);
         for (int test = 0; test < ScoreTable.TESTS; test++) {
             double nats = stream.nats(test);
             if (nats >= mThresholdNats) {
-                lastCounts = lastCounts == null ? recentCounts(stream) : lastCounts;
-                double share = PoolBaseline.remainingShare(stream, test, lastCounts);
-                if (share < REBASE_SHARE && PoolBaseline.isChanged(stream, test, lastCounts)) {
+                recentCounts = recentCounts == null ? recentCounts(stream) : recentCounts;
+                double share = PoolBaseline.remainingShare(stream, test, recentCounts);
+                if (share < REBASE_SHARE && PoolBaseline.isChanged(stream, test, recentCounts)) {
                     rebase();
                     return Finding.none(mThresholdNats);
                 }
@@ -151,26 +154,28 @@
     }
 
     /**
-     * Returns whether the fellows have answered often enough since a target's test began to rise.
+     * Returns whether the other targets have enough samples since a target's statistic left 0.
      *
-     * <p>At the onset of an overload the target that answers first would be ejected on four
-     * requests, before its fellows have shown that they are as slow; slow answers take longer to
-     * show than failures. Where they get no work, a few more requests of its own are enough.
+     * <p>At the onset of an overload, the target that answers first would be ejected after four
+     * requests, before the other targets' answers show that they are as slow; slowness takes longer
+     * to show than failures. Where the others get no requests, a few more samples of its own are
+     * enough.
      */
     private boolean isComparable(TargetStream stream, int test) {
         int own = stream.samplesSinceRise(test);
         long others = mSamples - stream.poolSamplesAtRise(test) - own;
         boolean isFailure =
                 AlternativeHypothesis.ALL.get(test).kind() == AlternativeHypothesis.Kind.FAILURE;
-        double each = isFailure ? OTHER_SAMPLES_FOR_FAILURE : OTHER_SAMPLES_FOR_SLOWNESS;
-        return others >= each * (mStreams.size() - 1) || own >= SUFFICIENT_OWN_SAMPLES;
+        double samplesPerTarget =
+                isFailure ? OTHER_SAMPLES_FOR_FAILURE : OTHER_SAMPLES_FOR_SLOWNESS;
+        return others >= samplesPerTarget * (mStreams.size() - 1) || own >= SUFFICIENT_OWN_SAMPLES;
     }
 
     /**
-     * Starts all comparisons anew, as the service as a whole has changed.
+     * Restarts all comparisons, as the service as a whole has changed.
      *
-     * <p>A baseline half from before and half from after an overload fits no target: one after the
-     * other would be ejected for being as slow as all.
+     * <p>A baseline half from before and half from after an overload fits no target: the targets
+     * would be ejected one after the other for being as slow as all.
      */
     private void rebase() {
         for (TargetStream stream : mStreams.values()) {
@@ -196,10 +201,12 @@
                                 (long) (REFRESH_GROWTH * PoolBaseline.samples(mStreams.values())));
         mThresholdNats = threshold();
         for (TargetStream stream : mStreams.values()) {
-            List<TargetStream> fellows = PoolBaseline.referenceTargets(stream, mStreams.values());
-            boolean withSlowness = PoolBaseline.samples(fellows) >= MIN_BASELINE_SAMPLES;
+            List<TargetStream> referenceTargets =
+                    PoolBaseline.referenceTargets(stream, mStreams.values());
+            boolean withSlowness = PoolBaseline.samples(referenceTargets) >= MIN_BASELINE_SAMPLES;
             stream.setScores(
-                    new ScoreTable(PoolBaseline.longRunDistribution(fellows), withSlowness));
+                    new ScoreTable(
+                            PoolBaseline.longRunDistribution(referenceTargets), withSlowness));
         }
     }
 
--- a/src/main/java/org/apricotgauge/decision/detection/Finding.java
+++ b/src/main/java/org/apricotgauge/decision/detection/Finding.java
@@ -5,10 +5,10 @@
 /**
  * The strongest evidence against a target in one view.
  *
- * @param test number of the test, as in {@link AlternativeHypothesis#ALL}
+ * @param test index of the test in {@link AlternativeHypothesis#ALL}
  * @param nats its statistic
  * @param thresholdNats the statistic at which the target is ejected
- * @param natsPerSample its evidence for each sample: how bad the target is
+ * @param natsPerSample its evidence per sample, which shows how degraded the target is
  */
 record Finding(int test, double nats, double thresholdNats, double natsPerSample) {
 
--- a/src/main/java/org/apricotgauge/decision/detection/FloorPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/detection/FloorPolicy.java
@@ -10,10 +10,11 @@
 import java.util.stream.Collectors;
 
 /**
- * Chooses which of the targets with enough evidence are ejected, within the floor.
+ * Selects the targets to eject among those with enough evidence, within the floor.
  *
- * <p>The worst go first, so that those who return when capacity is lost elsewhere are the least
- * bad. A target that is missing already is never ejected: it would count twice.
+ * <p>The most degraded targets are ejected first, so that the least degraded ones return to service
+ * when capacity is lost elsewhere. A target that can't take requests anyway (see {@link
+ * TargetPresence}) is never ejected, as its slots would be subtracted twice.
  */
 final class FloorPolicy {
     private FloorPolicy() {}
@@ -22,7 +23,8 @@
      * A target with enough evidence to be ejected.
      *
      * @param targetId the target
-     * @param severity its evidence over the threshold; the greater, the worse
+     * @param severity its evidence per sample, in nats, weighted for a target that is ejected
+     *     already; the larger, the more degraded
      */
     record Candidate(String targetId, double severity) {
         private static final Comparator<Candidate> WORST_FIRST =
@@ -31,11 +33,11 @@
                         .thenComparing(Candidate::targetId);
     }
 
-    /** Returns the ids of the candidates that are ejected. */
+    /** Returns the ids of the candidates to eject. */
     static Set<String> selectEjections(
-            List<Candidate> candidates, ConfiguredTargets membership, int floorSlots) {
-        Map<String, ConfiguredTargets.ConfiguredTarget> entries =
-                membership.targets().stream()
+            List<Candidate> candidates, ConfiguredTargets configuredTargets, int floorSlots) {
+        Map<String, ConfiguredTargets.ConfiguredTarget> targetsById =
+                configuredTargets.targets().stream()
                         .collect(
                                 Collectors.toMap(
                                         ConfiguredTargets.ConfiguredTarget::targetId,
@@ -43,38 +45,41 @@
         List<Candidate> ranked = new ArrayList<>(candidates);
         ranked.sort(Candidate.WORST_FIRST);
         Set<String> ejected = new HashSet<>();
-        int eligibleSlots = membership.presentSlots();
+        int eligibleSlots = configuredTargets.presentSlots();
         for (Candidate candidate : ranked) {
-            ConfiguredTargets.ConfiguredTarget entry = entries.get(candidate.targetId());
-            if (entry.isPresent() && eligibleSlots - entry.slots() >= floorSlots) {
+            ConfiguredTargets.ConfiguredTarget target = targetsById.get(candidate.targetId());
+            if (target.isPresent() && eligibleSlots - target.slots() >= floorSlots) {
                 ejected.add(candidate.targetId());
-                eligibleSlots -= entry.slots();
+                eligibleSlots -= target.slots();
             }
         }
         return ejected;
     }
 
     /**
-     * Counts the capacity that a decision leaves, and stops if an ejection broke the floor.
+     * Returns the slots that a decision leaves in service, and fails if an ejection broke the
+     * floor.
      *
-     * <p>It counts from the verdicts that are handed out, not from the choice, so that a fault
-     * anywhere in between is seen. Capacity below the floor by membership alone is no fault, but
-     * then nothing may be ejected.
+     * <p>Counts from the verdicts that are returned and not from the selection, so that a fault
+     * anywhere in between is detected. Capacity below the floor because targets can't take requests
+     * is no fault, but then no target may be ejected.
      *
-     * @throws IllegalStateException if something is ejected and less than the floor is left
+     * @throws IllegalStateException if a target is ejected and fewer slots than the floor are left
      */
     static int eligibleSlots(
-            Map<String, EjectionVerdict> verdicts, ConfiguredTargets membership, int floorSlots) {
+            Map<String, EjectionVerdict> verdicts,
+            ConfiguredTargets configuredTargets,
+            int floorSlots) {
         int eligibleSlots = 0;
         int ejectedSlots = 0;
-        for (ConfiguredTargets.ConfiguredTarget entry : membership.targets()) {
-            if (!entry.isPresent()) {
+        for (ConfiguredTargets.ConfiguredTarget target : configuredTargets.targets()) {
+            if (!target.isPresent()) {
                 continue;
             }
-            if (verdicts.get(entry.targetId()).isEligible()) {
-                eligibleSlots += entry.slots();
+            if (verdicts.get(target.targetId()).isEligible()) {
+                eligibleSlots += target.slots();
             } else {
-                ejectedSlots += entry.slots();
+                ejectedSlots += target.slots();
             }
         }
         if (ejectedSlots > 0 && eligibleSlots < floorSlots) {
--- a/src/main/java/org/apricotgauge/decision/detection/LatencyBins.java
+++ b/src/main/java/org/apricotgauge/decision/detection/LatencyBins.java
@@ -1,8 +1,8 @@
 package org.apricotgauge.decision.detection;
 
-/** The bins of service time: a factor of the square root of two each, from 250 us to 180 s. */
+/** The bins of service time, each a factor of the square root of two wide, from 250 us to 180 s. */
 final class LatencyBins {
-    /** Number of bins; the first and the last are open. */
+    /** Number of bins; the first and the last are open-ended. */
     static final int COUNT = 40;
 
     private static final double FIRST_EDGE_MICROS = 250;
@@ -18,7 +18,7 @@
         return Math.min(bin, COUNT - 1);
     }
 
-    /** Returns the service time at which a bin ends, in microseconds. */
+    /** Returns the upper bound of a bin, in microseconds. */
     static long endMicros(int bin) {
         return (long) (FIRST_EDGE_MICROS * Math.exp(bin / BINS_PER_NAT));
     }
--- a/src/main/java/org/apricotgauge/decision/detection/LocalCounts.java
+++ b/src/main/java/org/apricotgauge/decision/detection/LocalCounts.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What this node has observed of one target at one end, since its start. */
+/**
+ * Counts of what this node has observed of one target at one observation point, since its start.
+ */
 final class LocalCounts {
     private final long[] mLatencyCounts = new long[LatencyBins.COUNT];
     private long mFailures;
@@ -34,13 +36,14 @@
     }
 
     /**
-     * Counts a timeout by the end that saw it.
+     * Counts a timeout by the point at which it was observed.
      *
-     * <p>Beside the target it is the target's. At the entry the path may have swallowed the request
-     * or the answer; told to others as the target's, a one-way partition would eject for all.
+     * <p>At the guard it counts as a failure of the target. At the entry the path may have lost the
+     * request or the answer: if it were reported to the other nodes as a failure of the target, a
+     * one-way partition would eject the target at every node.
      */
-    private void addTimeout(ObservationPoint end) {
-        if (end == ObservationPoint.GUARD) {
+    private void addTimeout(ObservationPoint point) {
+        if (point == ObservationPoint.GUARD) {
             mFailures++;
         } else {
             mPathFaults++;
--- a/src/main/java/org/apricotgauge/decision/detection/ObservationPoint.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ObservationPoint.java
@@ -1,9 +1,9 @@
 package org.apricotgauge.decision.detection;
 
-/** Where on its way a request was observed. */
+/** The point on a request's path at which it was observed. */
 public enum ObservationPoint {
-    /** Beside the target: the path from the entry is not part of what was seen. */
+    /** At the guard beside the target; the path from the entry is not included. */
     GUARD,
-    /** At the node that the caller connected to: the path to the target is included. */
+    /** At the node that the caller connected to; the path to the target is included. */
     ENTRY
 }
--- a/src/main/java/org/apricotgauge/decision/detection/ObservedOutcome.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ObservedOutcome.java
@@ -2,21 +2,21 @@
 
 /** How an observed request ended. */
 public enum ObservedOutcome {
-    /** A whole answer that is not an error of the target. */
+    /** A complete answer that is not an error of the target. */
     SUCCESS,
     /** The target answered with an error of its own (5xx other than 503), or a broken answer. */
     TARGET_ERROR,
-    /** No answer in time; at the entry it may be the path's fault as well as the target's. */
+    /** No answer in time; at the entry, the target or the path to it may have failed. */
     TIMEOUT,
     /**
      * Still running after {@link ServiceDetector#unresponsiveAfterMicros}; observed once, and not
      * again when it ends.
      */
     UNRESPONSIVE,
-    /** The target refused the request for load (503): load, never sickness. */
+    /** The target shed the request (503), a sign of load and never of degradation. */
     SHED,
-    /** The path failed: refused or silent connection, no acknowledgement from the guard. */
+    /** The path failed: refused or unresponsive connection, no acknowledgement from the guard. */
     PATH_FAULT,
-    /** The caller gave up; it says nothing about the target. */
+    /** The caller cancelled the request, which is no evidence about the target. */
     CANCELLED
 }
--- a/src/main/java/org/apricotgauge/decision/detection/PoolBaseline.java
+++ b/src/main/java/org/apricotgauge/decision/detection/PoolBaseline.java
@@ -5,18 +5,19 @@
 import java.util.List;
 
 /**
- * The law of categories of a target's fellows, which the target is compared with.
+ * The distribution over the categories that a target is compared with, from its reference targets.
  *
  * <p>A service that is slow as a whole must not look like slow targets, so a target is compared
- * with the others of its service. The most suspect third of them is left out: in a service of six
- * or nine, one other sick target would else hide the next.
+ * with the other targets of its service. The most suspect third of them is left out: in a service
+ * of six or nine, one other degraded target would otherwise hide the next. The rest are the
+ * target's reference targets.
  */
 final class PoolBaseline {
     private static final int TRIM_DIVISOR = 3;
 
     /**
-     * Prior weight of the bins together, in samples: what has not been seen in N samples has a mass
-     * of some 1/N (Good 1953).
+     * Prior weight of all bins together, in samples: what has not occurred in N samples has a
+     * probability of about 1/N (Good 1953).
      */
     private static final double PRIOR_LATENCY_SAMPLES = 4;
 
@@ -26,12 +27,14 @@
     private static final double PRIOR_SAMPLES = 50;
     private static final int[] WINDOW_SAMPLES = {8, 32, 128, TargetStream.RECENT_SAMPLES};
 
-    /** The window, by its place among those, that tells a lasting change of the whole service. */
+    /**
+     * Index in {@link #WINDOW_SAMPLES} of the window that shows a lasting change of the service.
+     */
     private static final int CHANGE_WINDOW_INDEX = 1;
 
     private PoolBaseline() {}
 
-    /** Returns the fellows of a target that its baseline is made of. */
+    /** Returns the reference targets of a target, which its baseline is computed from. */
     static List<TargetStream> referenceTargets(TargetStream target, Iterable<TargetStream> all) {
         List<TargetStream> others = new ArrayList<>();
         for (TargetStream stream : all) {
@@ -45,67 +48,72 @@
         return others.subList(0, others.size() - others.size() / TRIM_DIVISOR);
     }
 
-    /** Returns how many samples the fellows hold. */
-    static double samples(Iterable<TargetStream> fellows) {
+    /** Returns the number of samples of the reference targets. */
+    static double samples(Iterable<TargetStream> referenceTargets) {
         double samples = 0;
-        for (TargetStream stream : fellows) {
+        for (TargetStream stream : referenceTargets) {
             samples += stream.historySamples();
         }
         return samples;
     }
 
-    /** Returns the probabilities of the categories over some minutes; none of them is 0. */
-    static double[] longRunDistribution(List<TargetStream> fellows) {
-        double[] law = new double[Category.COUNT];
-        for (TargetStream stream : fellows) {
-            stream.addHistoryTo(law);
+    /** Returns the probabilities of the categories over the past minutes; none of them is 0. */
+    static double[] longRunDistribution(List<TargetStream> referenceTargets) {
+        double[] distribution = new double[Category.COUNT];
+        for (TargetStream stream : referenceTargets) {
+            stream.addHistoryTo(distribution);
         }
-        double samples = samples(fellows);
-        double failure = (law[Category.FAILURE] + PRIOR_FAILURES) / (samples + PRIOR_SAMPLES);
-        double answered = samples - law[Category.FAILURE] + PRIOR_LATENCY_SAMPLES;
+        double samples = samples(referenceTargets);
+        double failure =
+                (distribution[Category.FAILURE] + PRIOR_FAILURES) / (samples + PRIOR_SAMPLES);
+        double answered = samples - distribution[Category.FAILURE] + PRIOR_LATENCY_SAMPLES;
         for (int bin = 0; bin < LatencyBins.COUNT; bin++) {
-            law[bin] += PRIOR_LATENCY_SAMPLES / LatencyBins.COUNT;
-            law[bin] *= (1 - failure) / answered;
+            distribution[bin] += PRIOR_LATENCY_SAMPLES / LatencyBins.COUNT;
+            distribution[bin] *= (1 - failure) / answered;
         }
-        law[Category.FAILURE] = failure;
-        return law;
+        distribution[Category.FAILURE] = failure;
+        return distribution;
     }
 
-    /** The fellows' last samples, counted by category over windows of several lengths. */
-    static int[][] recentCounts(List<TargetStream> fellows) {
+    /**
+     * Counts the reference targets' recent samples by category, over windows of several lengths.
+     */
+    static int[][] recentCounts(List<TargetStream> referenceTargets) {
         int[][] counts = new int[WINDOW_SAMPLES.length][Category.COUNT];
         for (int window = 0; window < WINDOW_SAMPLES.length; window++) {
-            for (TargetStream fellow : fellows) {
-                fellow.addRecentTo(counts[window], WINDOW_SAMPLES[window]);
+            for (TargetStream reference : referenceTargets) {
+                reference.addRecentTo(counts[window], WINDOW_SAMPLES[window]);
             }
         }
         return counts;
     }
 
     /**
-     * Returns which share of a target's evidence is left when its fellows' last samples are the
-     * baseline.
+     * Returns the share of a target's evidence that remains when the recent samples of its
+     * reference targets are the baseline.
      *
-     * <p>When the whole service turns bad at once, the first target to cross its threshold does so
-     * before the shares over minutes have moved, and would be ejected for being as bad as all. So
-     * the target's share of suspect samples is compared with the fellows' share too, over a few
-     * samples for the sudden and over hundreds for the faint; where that is more than chance, the
-     * evidence shrinks as the divergence between the two does.
+     * <p>When the whole service degrades at once, the first target to cross its threshold does so
+     * before the shares over minutes have changed, and would be ejected for being as degraded as
+     * all. So the target's share of suspect samples is also compared with the recent share of its
+     * reference targets, over a few samples for sudden changes and over hundreds for slight ones.
+     * Where that share is above chance, the evidence shrinks with the divergence between the two.
      */
-    static double remainingShare(TargetStream target, int test, int[][] lastCounts) {
+    static double remainingShare(TargetStream target, int test, int[][] recentCounts) {
         int samples = target.samplesSinceRise(test);
         double own = (double) target.suspectSamplesSinceRise(test) / Math.max(1, samples);
         double usual = target.scores().suspectShare(test);
         double now = usual;
-        for (int[] counts : lastCounts) {
+        for (int[] counts : recentCounts) {
             now = Math.max(now, recentSuspectShare(target.scores(), test, counts));
         }
         return own <= now ? 0 : divergence(own, now) / divergence(own, usual);
     }
 
-    /** Returns whether the fellows as a whole have changed, more than chance, for some time. */
-    static boolean isChanged(TargetStream target, int test, int[][] lastCounts) {
-        return recentSuspectShare(target.scores(), test, lastCounts[CHANGE_WINDOW_INDEX]) > 0;
+    /**
+     * Returns whether the reference targets as a whole have changed for some time, beyond chance.
+     */
+    static boolean isChanged(TargetStream target, int test, int[][] recentCounts) {
+        return recentSuspectShare(target.scores(), test, recentCounts[CHANGE_WINDOW_INDEX]) > 0;
     }
 
     private static double recentSuspectShare(ScoreTable scores, int test, int[] counts) {
@@ -125,7 +133,7 @@
         return (suspect + 0.5) / (total + 1);
     }
 
-    /** Returns the Kullback-Leibler divergence of two shares, in nats a sample. */
+    /** Returns the Kullback-Leibler divergence of two shares, in nats per sample. */
     private static double divergence(double share, double from) {
         double nats = share * Math.log(share / from);
         return share >= 1 ? nats : nats + (1 - share) * Math.log((1 - share) / (1 - from));
--- a/src/main/java/org/apricotgauge/decision/detection/Readmission.java
+++ b/src/main/java/org/apricotgauge/decision/detection/Readmission.java
@@ -1,13 +1,14 @@
 package org.apricotgauge.decision.detection;
 
 /**
- * The way of one target out of service and back, by a few real requests.
+ * The ejection of one target, and its readmission after a few real requests as probes.
  *
- * <p>While out, a target gets no work for its hold time; then single requests try it. They run
- * Wald's test the other way round: the log-likelihood ratio of the very alternative that ejected
- * the target must fall by a required amount. Each ejection soon after the last doubles the hold
- * time and asks for more evidence, up to a bound, and quiet time takes the price down again: a
- * flapping target costs less and less work, and a mended one is never out for more than the bound.
+ * <p>An ejected target gets no requests for its ejection time; then single requests probe it. They
+ * run Wald's test in reverse: the log-likelihood ratio of the alternative that ejected the target
+ * must fall by a required amount. Each ejection soon after the last doubles the ejection time and
+ * raises the required evidence, up to a bound, and time without ejections lowers both again. So a
+ * flapping target costs fewer and fewer requests, and a recovered one is never ejected for longer
+ * than the bound.
  */
 final class Readmission {
     private static final long BASE_EJECTION_MILLIS = 2_000;
@@ -19,7 +20,7 @@
     private static final int BASE_MAX_PROBES = 8;
     private static final int MAX_PROBES_PER_EJECTION = 2;
 
-    /** Evidence of sickness while being tried that sends a target back to its hold time. */
+    /** Evidence of degradation from the probes that restarts the ejection time. */
     private static final double RELAPSE_NATS = 2;
 
     private boolean mIsEjected;
@@ -55,9 +56,12 @@
 
     void eject(long nowMillis) {
         if (!mIsEjected) {
-            long quiet = mConsecutiveEjections == 0 ? 0 : (nowMillis - mReadmittedMillis);
+            long quietMillis = mConsecutiveEjections == 0 ? 0 : (nowMillis - mReadmittedMillis);
             mConsecutiveEjections =
-                    Math.max(0, mConsecutiveEjections - (int) (quiet / QUIET_MILLIS_PER_EJECTION));
+                    Math.max(
+                            0,
+                            mConsecutiveEjections
+                                    - (int) (quietMillis / QUIET_MILLIS_PER_EJECTION));
         }
         mIsEjected = true;
         startEjectionTime(nowMillis);
@@ -73,19 +77,19 @@
         mHealthyNats = 0;
     }
 
-    /** Takes in a request that tried the target, with its score for being sick. */
-    void recordProbe(double sickNats, long nowMillis) {
+    /** Records a request that probed the target, with its score for degradation. */
+    void recordProbe(double degradedNats, long nowMillis) {
         if (!isProbing(nowMillis)) {
             return;
         }
         mProbes++;
-        mHealthyNats -= sickNats;
+        mHealthyNats -= degradedNats;
         if (mHealthyNats <= -RELAPSE_NATS) {
             startEjectionTime(nowMillis);
         }
     }
 
-    /** Takes the target back without trial; the price of its ejections stays. */
+    /** Ends the ejection without probes; the count of consecutive ejections stays. */
     void cancelEjection() {
         mIsEjected = false;
     }
--- a/src/main/java/org/apricotgauge/decision/detection/RemoteEvidence.java
+++ b/src/main/java/org/apricotgauge/decision/detection/RemoteEvidence.java
@@ -8,14 +8,17 @@
 import org.apricotgauge.model.DetectionOdds;
 
 /**
- * The evidence of other nodes.
+ * The evidence received from other nodes.
  *
- * <p>Guards' counts join the one view of guards. Each remote entry has a view of its own, and
- * together they speak by quorum: the sum of their statistics without the largest. A sick entry, or
- * one behind a broken path, is alone in what it sees and so ejects nobody for others.
+ * <p>Counts of guards are added to the common view of the guards. Each remote entry has a view of
+ * its own, and the entries are combined by quorum: the sum of their statistics without the largest.
+ * A degraded entry, or one behind a broken path, is alone in its observations and so ejects no
+ * target at other nodes.
  */
 final class RemoteEvidence {
-    /** Remote entries that are listened to; more would cost memory and add little. */
+    /**
+     * Maximum number of remote entries with a view; more would cost memory and add little evidence.
+     */
     private static final int MAX_ENTRIES = 8;
 
     private static final long IDLE_TIMEOUT_MILLIS = 60_000;
@@ -31,7 +34,7 @@
         mGuardView = guards;
     }
 
-    /** A receiver of the counts that a digest adds. */
+    /** Receives the guard counts that a digest adds. */
     @FunctionalInterface
     interface GuardCountsListener {
         void countsAdded(String targetId, int[] counts);
@@ -50,7 +53,7 @@
         mReceivedMillis.put(reporter, nowMillis);
         removeIdle(nowMillis);
         if (last == null) {
-            // A first digest holds the counts of hours, in no order: it sets where to count from.
+            // A first digest holds hours of counts in unknown order: it is only a starting point.
             return;
         }
         boolean isRestarted = digest.incarnation() != last.incarnation();
@@ -107,7 +110,7 @@
         int[] counts = difference(now.entry(), before == null ? null : before.entry());
         if (!isEmpty(counts)) {
             mEntryViews
-                    .computeIfAbsent(reporter, any -> new EvidenceView(mOdds))
+                    .computeIfAbsent(reporter, key -> new EvidenceView(mOdds))
                     .addBatch(now.targetId(), counts, nowMillis);
         }
     }
@@ -142,12 +145,12 @@
     }
 
     private void removeIdle(long nowMillis) {
-        mReceivedMillis.values().removeIf(heard -> nowMillis - heard > IDLE_TIMEOUT_MILLIS);
+        mReceivedMillis.values().removeIf(received -> nowMillis - received > IDLE_TIMEOUT_MILLIS);
         mLastDigests.keySet().retainAll(mReceivedMillis.keySet());
         mEntryViews.keySet().retainAll(mReceivedMillis.keySet());
     }
 
-    /** Returns what the remote entries together hold against a target. */
+    /** Returns the combined evidence of the remote entries against a target. */
     Finding quorumFinding(String targetId, double thresholdNats) {
         double sum = 0;
         Finding strongest = Finding.none(thresholdNats);
@@ -169,7 +172,7 @@
         mEntryViews.values().forEach(view -> view.retain(targetIds));
     }
 
-    /** Does something to every remote entry's stream of a target. */
+    /** Applies an action to the view of every remote entry. */
     void forEachView(Consumer<EvidenceView> action) {
         mEntryViews.values().forEach(action);
     }
--- a/src/main/java/org/apricotgauge/decision/detection/ScoreTable.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ScoreTable.java
@@ -3,7 +3,7 @@
 /**
  * The log-likelihood ratio of every category under every alternative, against one baseline.
  *
- * <p>A ratio is clipped: one request never decides, however strange it is to the baseline.
+ * <p>Ratios are clipped, so that one request never decides, however unlikely it is in the baseline.
  */
 final class ScoreTable {
     static final int TESTS = AlternativeHypothesis.ALL.size();
@@ -15,36 +15,36 @@
     private final double[] mBaseline;
 
     /**
-     * Works the table out.
+     * Computes the table.
      *
-     * @param pool the baseline's probabilities of the categories, none of them 0
+     * @param baseline the baseline's probabilities of the categories, none of them 0
      * @param withSlowness whether the baseline holds enough service times to test for slowness
      */
-    ScoreTable(double[] pool, boolean withSlowness) {
-        mBaseline = pool;
+    ScoreTable(double[] baseline, boolean withSlowness) {
+        mBaseline = baseline;
         for (int test = 0; test < TESTS; test++) {
             AlternativeHypothesis alternative = AlternativeHypothesis.ALL.get(test);
-            double[] sick = alternative.transform().apply(pool);
+            double[] degraded = alternative.transform().apply(baseline);
             if (alternative.kind() == AlternativeHypothesis.Kind.SLOWNESS && !withSlowness) {
                 continue;
             }
             for (int category = 0; category < Category.COUNT; category++) {
-                mNats[category][test] = clip(sick[category], pool[category]);
+                mNats[category][test] = clip(degraded[category], baseline[category]);
             }
         }
     }
 
-    /** Returns the scores of one category, a number for each test; not to be changed. */
+    /** Returns the scores of one category, one for each test; the array must not be modified. */
     double[] nats(int category) {
         return mNats[category];
     }
 
-    /** Returns whether a category speaks for the alternative. */
+    /** Returns whether a category supports the alternative of a test. */
     boolean isSuspect(int test, int category) {
         return mNats[category][test] > 0;
     }
 
-    /** Returns the baseline's share of the categories that speak for the alternative. */
+    /** Returns the baseline's share of the categories that support the alternative of a test. */
     double suspectShare(int test) {
         double share = 0;
         for (int category = 0; category < Category.COUNT; category++) {
@@ -53,7 +53,7 @@
         return share;
     }
 
-    private static double clip(double sick, double pool) {
-        return Math.max(MIN_NATS, Math.min(MAX_NATS, Math.log(sick / pool)));
+    private static double clip(double degraded, double baseline) {
+        return Math.max(MIN_NATS, Math.min(MAX_NATS, Math.log(degraded / baseline)));
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/ServiceDetector.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ServiceDetector.java
@@ -13,34 +13,37 @@
 import org.apricotgauge.model.Service;
 
 /**
- * Detects and ejects the gray targets of one service, in one node.
+ * Detects and ejects the targets of one service with gray failures, in one node.
  *
  * <pre>{@code
  * ServiceDetector detector = new ServiceDetector(service, incarnation);
  * if (detector.observe(observation)) {
- *     Verdicts verdicts = detector.decide(ticker.millis(), membership);
+ *     EjectionVerdicts verdicts = detector.decide(ticker.millis(), configuredTargets);
  * }
  * }</pre>
  *
- * <p>Each target is tested by Page's CUSUM (Page 1954) for several ways of failing and of being
- * slow, against the other targets of its service. The guards' evidence ejects a target in every
- * node that holds it; this entry's own evidence, with the path in it, in this node alone; other
- * entries' evidence only by quorum, and only for a target without a guard.
+ * <p>Each target is tested by Page's CUSUM (Page 1954) for several kinds of failure and slowness,
+ * against the other targets of its service. The evidence of guards ejects a target in every node
+ * that has this evidence. This entry's own evidence, which includes the path, ejects it in this
+ * node alone. The evidence of other entries ejects it only by quorum, and only if the target has no
+ * recent guard evidence.
  *
- * <p>All methods may be called by any thread; they lock the detector for well under a millisecond.
- * Readers on a request's path read the published {@link EjectionVerdicts} and never lock.
+ * <p>Thread-safe; all methods lock the detector for well under a millisecond. The path of a request
+ * reads the published {@link EjectionVerdicts} and never locks.
  */
 public final class ServiceDetector {
     private static final long UNRESPONSIVE_FACTOR = 2;
     private static final long MAX_EVIDENCE_AGE_MILLIS = 30_000;
 
-    /** A probe costs about 25 ms of a slot: one each 250 ms takes a tenth of one slot. */
+    /** A probe takes about 25 ms of a slot, so one every 250 ms takes a tenth of one slot. */
     private static final long PROBE_INTERVAL_MILLIS = 250;
 
-    /** How much worse than an ejected target one in service must be, to be ejected in its place. */
+    /**
+     * Factor by which a target in service must be worse than an ejected one to be ejected instead.
+     */
     private static final double REPLACEMENT_RATIO = 1.5;
 
-    /** While all targets look sick at once, each request would call for a decision. */
+    /** While all targets look degraded at once, each request would otherwise trigger a decision. */
     private static final long MIN_DECISION_INTERVAL_MILLIS = 10;
 
     private Service mService;
@@ -56,10 +59,10 @@
     private long mProbedMillis = Long.MIN_VALUE / 2;
 
     /**
-     * Makes a detector without evidence.
+     * Creates a detector without evidence.
      *
      * @param service the service, with its floor and odds
-     * @param incarnation start of this process, larger than that of earlier ones on this node
+     * @param incarnation incarnation of this process, larger than that of earlier ones on this node
      */
     public ServiceDetector(Service service, long incarnation) {
         mService = Checks.notNull("service", service);
@@ -70,35 +73,35 @@
     }
 
     /**
-     * Takes in one request that this node saw end.
+     * Records one request that this node observed.
      *
-     * @return whether a target has crossed its threshold, so that it is time to decide at once and
-     *     not at the next regular decision
+     * @return whether a target has crossed its threshold or passed its probes, so that a decision
+     *     is due at once and not at the next regular time
      */
     public synchronized boolean observe(Observation observation) {
         Checks.notNull("observation", observation);
         boolean isGuard = observation.point() == ObservationPoint.GUARD;
         String targetId = observation.targetId();
         Map<String, LocalCounts> counts = isGuard ? mLocalGuardCounts : mLocalEntryCounts;
-        counts.computeIfAbsent(targetId, any -> new LocalCounts()).add(observation);
+        counts.computeIfAbsent(targetId, id -> new LocalCounts()).add(observation);
         int category = Category.of(observation);
         if (category == Category.NONE) {
             return false;
         }
-        TargetState standing = mTargetStates.get(targetId);
-        if (category == Category.FAILURE && standing != null) {
-            standing.failureKey().recordFailure(observation.keyHash());
+        TargetState target = mTargetStates.get(targetId);
+        if (category == Category.FAILURE && target != null) {
+            target.failureKey().recordFailure(observation.keyHash());
         }
         EvidenceView view = isGuard ? mGuardView : mLocalEntryView;
         boolean isCrossed = view.add(targetId, category, observation.timeMillis());
         boolean isPassed = recordProbe(view, targetId, category, 1, observation.timeMillis());
-        boolean isFresh = observation.timeMillis() - mDecidedMillis < MIN_DECISION_INTERVAL_MILLIS;
-        return (isPassed || isCrossed) && !isFresh;
+        boolean isRecent = observation.timeMillis() - mDecidedMillis < MIN_DECISION_INTERVAL_MILLIS;
+        return (isPassed || isCrossed) && !isRecent;
     }
 
     /**
-     * Takes a new version of the service; its floor holds from the next decision on, its odds for
-     * the targets' next requests. The evidence is kept.
+     * Applies a new version of the service. Its floor takes effect at the next decision, its odds
+     * at the targets' next requests; the evidence is kept.
      */
     public synchronized void update(Service service) {
         mService = Checks.notNull("service", service);
@@ -108,17 +111,17 @@
     }
 
     /**
-     * Returns the service time after which a request should be observed as {@link
-     * ObservedOutcome#UNRESPONSIVE} though it still runs, or {@link Long#MAX_VALUE} while unknown.
+     * Returns the service time in microseconds after which a request that still runs should be
+     * observed as {@link ObservedOutcome#UNRESPONSIVE}, or {@link Long#MAX_VALUE} while unknown.
      *
-     * <p>A target that hangs answers nothing, so that all its evidence would come at the requests'
-     * deadlines. Twice the time that all but one in a thousand keep is rare enough that its bin
-     * speaks as clearly as a far longer time would.
+     * <p>A target that hangs sends no answers, so that all its evidence would come at the requests'
+     * deadlines. Twice the 99.9th percentile is rare enough that its bin is as strong evidence as a
+     * far longer time would be.
      */
-    public synchronized long unresponsiveAfterMicros(ObservationPoint end) {
-        long highMicros =
-                (end == ObservationPoint.GUARD ? mGuardView : mLocalEntryView).p999Micros();
-        return highMicros == Long.MAX_VALUE ? highMicros : UNRESPONSIVE_FACTOR * highMicros;
+    public synchronized long unresponsiveAfterMicros(ObservationPoint point) {
+        long p999Micros =
+                (point == ObservationPoint.GUARD ? mGuardView : mLocalEntryView).p999Micros();
+        return p999Micros == Long.MAX_VALUE ? p999Micros : UNRESPONSIVE_FACTOR * p999Micros;
     }
 
     /** Returns this node's own evidence, to be sent to the other nodes of the service. */
@@ -144,11 +147,11 @@
     }
 
     /**
-     * Takes in another node's evidence.
+     * Merges another node's evidence.
      *
      * @param reporterNode the node that observed it
-     * @param digest its counts; one of another format, or not newer than the last, changes nothing
-     * @param nowMillis the present time on this node's clock
+     * @param digest its counts; ignored if of another format or not newer than the last
+     * @param nowMillis the current time on this node's clock
      */
     public synchronized void mergeRemote(
             String reporterNode, EvidenceDigest digest, long nowMillis) {
@@ -168,22 +171,22 @@
                 });
     }
 
-    /** Hands a request that tried an ejected target to its readmission; returns if that passed. */
+    /** Records a probe of an ejected target; returns whether its readmission has passed. */
     private boolean recordProbe(
             EvidenceView view, String targetId, int category, int count, long nowMillis) {
-        TargetState standing = mTargetStates.get(targetId);
-        if (standing == null || !standing.readmission().isProbing(nowMillis)) {
+        TargetState target = mTargetStates.get(targetId);
+        if (target == null || !target.readmission().isProbing(nowMillis)) {
             return false;
         }
-        TargetState.Evidence evidence = standing.evidence();
+        TargetState.Evidence evidence = target.evidence();
         if (evidence.view() != view && !isStale(evidence.view(), targetId, nowMillis)) {
             return false;
         }
         double score = view.stream(targetId).score(evidence.finding().test(), category);
         for (int i = 0; i < count; i++) {
-            standing.readmission().recordProbe(score, nowMillis);
+            target.readmission().recordProbe(score, nowMillis);
         }
-        return standing.readmission().isPassed(nowMillis);
+        return target.readmission().isPassed(nowMillis);
     }
 
     private static boolean isStale(EvidenceView view, String targetId, long nowMillis) {
@@ -192,44 +195,46 @@
     }
 
     /**
-     * Decides about every configured target.
+     * Decides on every configured target.
      *
-     * @param nowMillis the present time on this node's clock
-     * @param membership all configured targets
-     * @throws IllegalStateException if an ejection would break the floor, which a fault of this
-     *     class alone can bring about
+     * @param nowMillis the current time on this node's clock
+     * @param configuredTargets all configured targets
+     * @throws IllegalStateException if an ejection would break the floor, which only a fault of
+     *     this class can cause
      */
-    public synchronized EjectionVerdicts decide(long nowMillis, ConfiguredTargets membership) {
-        Checks.notNull("membership", membership);
+    public synchronized EjectionVerdicts decide(
+            long nowMillis, ConfiguredTargets configuredTargets) {
+        Checks.notNull("configuredTargets", configuredTargets);
         mDecidedMillis = nowMillis;
-        int floorSlots = mService.floorSlots(membership.configuredSlots());
-        updateTargets(membership);
+        int floorSlots = mService.floorSlots(configuredTargets.configuredSlots());
+        updateTargets(configuredTargets);
         List<FloorPolicy.Candidate> candidates = new ArrayList<>();
-        for (TargetState standing : mTargetStates.values()) {
-            updateEvidence(standing, nowMillis);
-            if (standing.isCandidate()) {
-                candidates.add(candidate(standing));
+        for (TargetState target : mTargetStates.values()) {
+            updateEvidence(target, nowMillis);
+            if (target.isCandidate()) {
+                candidates.add(candidate(target));
             }
         }
-        Set<String> ejected = FloorPolicy.selectEjections(candidates, membership, floorSlots);
+        Set<String> ejected =
+                FloorPolicy.selectEjections(candidates, configuredTargets, floorSlots);
         Map<String, EjectionVerdict> verdicts = new HashMap<>();
-        for (TargetState standing : mTargetStates.values()) {
-            applyDecision(standing, ejected.contains(standing.targetId()), nowMillis);
-            verdicts.put(standing.targetId(), VerdictFactory.verdict(standing, nowMillis));
+        for (TargetState target : mTargetStates.values()) {
+            applyDecision(target, ejected.contains(target.targetId()), nowMillis);
+            verdicts.put(target.targetId(), VerdictFactory.verdict(target, nowMillis));
         }
-        int eligibleSlots = FloorPolicy.eligibleSlots(verdicts, membership, floorSlots);
+        int eligibleSlots = FloorPolicy.eligibleSlots(verdicts, configuredTargets, floorSlots);
         return new EjectionVerdicts(
                 nowMillis, verdicts, floorSlots, eligibleSlots, probesDue(nowMillis));
     }
 
-    private void updateTargets(ConfiguredTargets membership) {
+    private void updateTargets(ConfiguredTargets configuredTargets) {
         Set<String> ids = new HashSet<>();
-        for (ConfiguredTargets.ConfiguredTarget entry : membership.targets()) {
-            ids.add(entry.targetId());
-            TargetState standing =
-                    mTargetStates.computeIfAbsent(entry.targetId(), id -> new TargetState(id));
-            if (standing.presence() != entry.presence()) {
-                changePresence(standing, entry.presence());
+        for (ConfiguredTargets.ConfiguredTarget configured : configuredTargets.targets()) {
+            ids.add(configured.targetId());
+            TargetState target =
+                    mTargetStates.computeIfAbsent(configured.targetId(), id -> new TargetState(id));
+            if (target.presence() != configured.presence()) {
+                changePresence(target, configured.presence());
             }
         }
         if (mTargetStates.keySet().retainAll(ids)) {
@@ -241,21 +246,24 @@
         }
     }
 
-    /** Forgets the evidence against a target that dies or starts: what comes is a new process. */
-    private void changePresence(TargetState standing, TargetPresence presence) {
-        standing.setPresence(presence);
+    /**
+     * Clears the evidence against a target that terminates or starts: what follows is a new
+     * process.
+     */
+    private void changePresence(TargetState target, TargetPresence presence) {
+        target.setPresence(presence);
         if (presence == TargetPresence.TERMINATED || presence == TargetPresence.RAMPING) {
-            forEachStream(standing.targetId(), TargetStream::clear);
-            standing.readmission().cancelEjection();
+            forEachStream(target.targetId(), TargetStream::clear);
+            target.readmission().cancelEjection();
         }
     }
 
-    private void updateEvidence(TargetState standing, long nowMillis) {
-        if (standing.readmission().isPassed(nowMillis)) {
-            standing.readmit(nowMillis);
-            forEachStream(standing.targetId(), TargetStream::clearTests);
+    private void updateEvidence(TargetState target, long nowMillis) {
+        if (target.readmission().isPassed(nowMillis)) {
+            target.readmit(nowMillis);
+            forEachStream(target.targetId(), TargetStream::clearTests);
         }
-        String id = standing.targetId();
+        String id = target.targetId();
         Finding guards = mGuardView.finding(id);
         Finding entry = mLocalEntryView.finding(id);
         TargetState.Evidence strongest =
@@ -274,37 +282,37 @@
                     new TargetState.Evidence(
                             mLocalEntryView, VerdictScope.PATH, "from this entry", entry);
         }
-        standing.setEvidence(strongest);
+        target.setEvidence(strongest);
     }
 
-    private static FloorPolicy.Candidate candidate(TargetState standing) {
-        double severity = standing.evidence().finding().natsPerSample();
+    private static FloorPolicy.Candidate candidate(TargetState target) {
+        double severity = target.evidence().finding().natsPerSample();
         return new FloorPolicy.Candidate(
-                standing.targetId(),
-                standing.readmission().isEjected() ? severity * REPLACEMENT_RATIO : severity);
+                target.targetId(),
+                target.readmission().isEjected() ? severity * REPLACEMENT_RATIO : severity);
     }
 
-    private void applyDecision(TargetState standing, boolean isEjected, long nowMillis) {
-        boolean wasOut = standing.readmission().isEjected();
-        if (isEjected && !wasOut) {
-            standing.eject(nowMillis);
+    private void applyDecision(TargetState target, boolean isEjected, long nowMillis) {
+        boolean wasEjected = target.readmission().isEjected();
+        if (isEjected && !wasEjected) {
+            target.eject(nowMillis);
         }
-        if (!isEjected && wasOut && standing.presence() == TargetPresence.PRESENT) {
-            // Capacity was lost elsewhere: the evidence stays, but the target serves at once.
-            standing.readmit(nowMillis);
+        if (!isEjected && wasEjected && target.presence() == TargetPresence.PRESENT) {
+            // Capacity was lost elsewhere: the evidence stays, but the target returns at once.
+            target.readmit(nowMillis);
         }
-        TargetStream.Mode mode = mode(standing);
-        mGuardView.setMode(standing.targetId(), mode);
-        mLocalEntryView.setMode(standing.targetId(), mode);
-        mRemote.forEachView(view -> view.setMode(standing.targetId(), mode));
+        TargetStream.Mode mode = mode(target);
+        mGuardView.setMode(target.targetId(), mode);
+        mLocalEntryView.setMode(target.targetId(), mode);
+        mRemote.forEachView(view -> view.setMode(target.targetId(), mode));
     }
 
-    private static TargetStream.Mode mode(TargetState standing) {
-        boolean isMissing = standing.presence() != TargetPresence.PRESENT;
-        if (isMissing || standing.readmission().isEjected()) {
+    private static TargetStream.Mode mode(TargetState target) {
+        boolean isMissing = target.presence() != TargetPresence.PRESENT;
+        if (isMissing || target.readmission().isEjected()) {
             return TargetStream.Mode.EXCLUDED;
         }
-        return standing.evidence().finding().isAlarm()
+        return target.evidence().finding().isAlarm()
                 ? TargetStream.Mode.KEPT_BY_FLOOR
                 : TargetStream.Mode.TESTED;
     }
@@ -322,23 +330,23 @@
         mRemote.forEachView(inView);
     }
 
-    /** Returns the target that has waited longest to be tried, if the budget allows a probe. */
+    /** Returns the target whose last probe is the oldest, if the probe interval has passed. */
     private List<String> probesDue(long nowMillis) {
         if (nowMillis - mProbedMillis < PROBE_INTERVAL_MILLIS) {
             return List.of();
         }
         return mTargetStates.values().stream()
-                .filter(standing -> standing.presence() == TargetPresence.PRESENT)
-                .filter(standing -> standing.readmission().isProbing(nowMillis))
+                .filter(target -> target.presence() == TargetPresence.PRESENT)
+                .filter(target -> target.readmission().isProbing(nowMillis))
                 .min(Comparator.comparingLong(TargetState::probedMillis))
-                .map(standing -> startProbe(standing, nowMillis))
+                .map(target -> startProbe(target, nowMillis))
                 .map(List::of)
                 .orElse(List.of());
     }
 
-    private String startProbe(TargetState standing, long nowMillis) {
+    private String startProbe(TargetState target, long nowMillis) {
         mProbedMillis = nowMillis;
-        standing.setProbedMillis(nowMillis);
-        return standing.targetId();
+        target.setProbedMillis(nowMillis);
+        return target.targetId();
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/TargetPresence.java
+++ b/src/main/java/org/apricotgauge/decision/detection/TargetPresence.java
@@ -1,13 +1,13 @@
 package org.apricotgauge.decision.detection;
 
-/** Whether a configured target can take work, by membership and not by detection. */
+/** Whether a configured target can take requests, regardless of detection. */
 public enum TargetPresence {
-    /** Takes work in full. */
+    /** Takes full load. */
     PRESENT,
-    /** In its cold start; counts as missing for the floor. */
+    /** In its cold start; its slots don't count as in service for the floor. */
     RAMPING,
-    /** Drains; takes no new work. */
+    /** Draining; takes no new requests. */
     LEAVING,
-    /** Gone. */
+    /** Terminated. */
     TERMINATED
 }
--- a/src/main/java/org/apricotgauge/decision/detection/TargetState.java
+++ b/src/main/java/org/apricotgauge/decision/detection/TargetState.java
@@ -1,6 +1,6 @@
 package org.apricotgauge.decision.detection;
 
-/** What the detector remembers of one target between decisions. */
+/** The state that the detector keeps of one target between decisions. */
 final class TargetState {
     private final String mTargetId;
     private final Readmission mReadmission = new Readmission();
@@ -15,7 +15,7 @@
         mTargetId = targetId;
     }
 
-    /** The strongest evidence, and the view that it comes from. */
+    /** The strongest evidence against the target, and the view that it comes from. */
     record Evidence(EvidenceView view, VerdictScope scope, String source, Finding finding) {
         String text() {
             return finding.text(source);
--- a/src/main/java/org/apricotgauge/decision/detection/TargetStream.java
+++ b/src/main/java/org/apricotgauge/decision/detection/TargetStream.java
@@ -7,10 +7,10 @@
  *
  * <p>Page's test keeps, for each alternative, the largest log-likelihood ratio of any suffix of the
  * samples: S = max(0, S + score). The counts since S left 0 are kept too, so that the ratio can be
- * worked out again against another baseline.
+ * recomputed against another baseline.
  */
 final class TargetStream {
-    /** How many of the last samples are kept one by one. */
+    /** Number of most recent samples that are kept individually. */
     static final int RECENT_SAMPLES = 512;
 
     private static final int REBASE_SAMPLES = 32;
@@ -18,11 +18,11 @@
 
     /** What a target's samples are used for. */
     enum Mode {
-        /** In service: it is tested, and its fellows are compared with it. */
+        /** In service: the target is tested, and is part of the other targets' baseline. */
         TESTED,
-        /** Kept in service by the floor alone: it is tested, but no fellow is compared with it. */
+        /** Kept in service by the floor alone: the target is tested, but is part of no baseline. */
         KEPT_BY_FLOOR,
-        /** Out of service or in its cold start: neither. */
+        /** Out of service or in its cold start: neither tested nor part of a baseline. */
         EXCLUDED
     }
 
@@ -52,7 +52,7 @@
         mScores = scores;
     }
 
-    /** Sets what the samples are used for; returns whether that is a change. */
+    /** Sets what the samples are used for; returns whether that changed. */
     boolean setMode(Mode mode) {
         boolean isChanged = mMode != mode;
         mMode = mode;
@@ -92,7 +92,7 @@
         return mScores.nats(category)[test];
     }
 
-    /** Takes in one sample; the pool's samples are those of all targets up to it. */
+    /** Adds one sample; {@code poolSamples} counts the samples of all targets before it. */
     void add(int category, long poolSamples, long nowMillis) {
         mLastMillis = nowMillis;
         if (mMode != Mode.EXCLUDED) {
@@ -102,10 +102,10 @@
     }
 
     /**
-     * Takes in samples whose order is not known.
+     * Adds samples whose order is not known.
      *
-     * <p>Their scores are added up before the test takes them. Taken in one by one, with the
-     * failures last, a few among many successes would count as failures in a row.
+     * <p>Their scores are summed before they enter the tests. If they were added one by one with
+     * the failures last, a few failures among many successes would count as consecutive ones.
      */
     void addBatch(int[] counts, long poolSamples, long nowMillis) {
         mLastMillis = nowMillis;
@@ -162,12 +162,15 @@
         }
     }
 
-    /** Returns a test's evidence for each sample since it began to rise: how bad the target is. */
+    /**
+     * Returns a test's evidence per sample since its statistic left 0, which shows how degraded the
+     * target is.
+     */
     double natsPerSample(int test) {
         return mNats[test] / Math.max(1, samplesSinceRise(test));
     }
 
-    /** Returns how many samples there were since a test began to rise. */
+    /** Returns the number of samples since a test's statistic left 0. */
     int samplesSinceRise(int test) {
         int samples = 0;
         for (int category = 0; category < Category.COUNT; category++) {
@@ -176,12 +179,14 @@
         return samples;
     }
 
-    /** Returns how many samples the pool had when a test began to rise. */
+    /** Returns the number of samples of the pool when a test's statistic left 0. */
     long poolSamplesAtRise(int test) {
         return mPoolSamplesAtRise[test];
     }
 
-    /** Returns how many of the samples since a test began to rise speak for its alternative. */
+    /**
+     * Returns the number of samples since a test's statistic left 0 that support its alternative.
+     */
     int suspectSamplesSinceRise(int test) {
         int samples = 0;
         for (int category = 0; category < Category.COUNT; category++) {
@@ -192,7 +197,7 @@
         return samples;
     }
 
-    /** Adds the counts of the last samples, by category. */
+    /** Adds the most recent samples to the counts by category. */
     void addRecentTo(int[] counts, int samples) {
         int taken = (int) Math.min(samples, mSamples);
         for (int i = 1; i <= taken; i++) {
@@ -204,7 +209,7 @@
         return mScores;
     }
 
-    /** Bounds every statistic, so that a recovered target need not undo hours of evidence. */
+    /** Caps every statistic, so that a recovered target need not offset hours of evidence. */
     void capAt(double maxNats) {
         mMaxNats = 0;
         for (int test = 0; test < mNats.length; test++) {
@@ -213,13 +218,13 @@
         }
     }
 
-    /** Forgets the evidence against the target, but not its share in the baseline. */
+    /** Clears the evidence against the target, but keeps its samples in the baseline. */
     void clearTests() {
         Arrays.fill(mNats, 0);
         mMaxNats = 0;
     }
 
-    /** Starts anew from the last samples: the service as a whole has changed. */
+    /** Restarts from the most recent samples, as the service as a whole has changed. */
     void rebase() {
         clearTests();
         int[] counts = new int[Category.COUNT];
@@ -231,7 +236,7 @@
         }
     }
 
-    /** Forgets everything: the target is a new process. */
+    /** Clears the evidence and the samples, as the target is a new process. */
     void clear() {
         clearTests();
         Arrays.fill(mHistory, 0);
--- a/src/main/java/org/apricotgauge/decision/detection/VerdictFactory.java
+++ b/src/main/java/org/apricotgauge/decision/detection/VerdictFactory.java
@@ -1,11 +1,11 @@
 package org.apricotgauge.decision.detection;
 
 /**
- * Makes the verdict on a target from its standing.
+ * Creates the verdict on a target from its {@link TargetState}.
  *
- * <p>Ejection is soft where it can be: from half the threshold on, the weight falls with the
- * evidence, but not below four fifths, as the requests that are kept away are those that would
- * decide. A target that only the floor keeps in service gets a tenth.
+ * <p>From half the threshold on, the weight of a target falls with the evidence, but not below four
+ * fifths, as the requests that it doesn't get are those that would decide the test. A target that
+ * only the floor keeps in service gets a tenth of its usual load.
  */
 final class VerdictFactory {
     private static final double SUSPECT_RATIO = 0.5;
@@ -17,71 +17,71 @@
 
     private VerdictFactory() {}
 
-    static EjectionVerdict verdict(TargetState standing, long nowMillis) {
-        Finding finding = standing.evidence().finding();
-        VerdictState state = state(standing, nowMillis);
-        boolean isHeld = state == VerdictState.SUSPECT && finding.isAlarm();
+    static EjectionVerdict verdict(TargetState target, long nowMillis) {
+        Finding finding = target.evidence().finding();
+        VerdictState state = state(target, nowMillis);
+        boolean isKeptByFloor = state == VerdictState.SUSPECT && finding.isAlarm();
         return new EjectionVerdict(
-                standing.targetId(),
+                target.targetId(),
                 state,
-                weight(standing, state, isHeld, nowMillis),
-                standing.evidence().scope(),
+                weight(target, state, isKeptByFloor, nowMillis),
+                target.evidence().scope(),
                 finding.nats(),
                 finding.thresholdNats(),
-                isHeld,
-                text(standing, state, isHeld));
+                isKeptByFloor,
+                text(target, state, isKeptByFloor));
     }
 
-    private static VerdictState state(TargetState standing, long nowMillis) {
-        if (standing.readmission().isEjected()) {
-            return standing.readmission().isProbing(nowMillis)
+    private static VerdictState state(TargetState target, long nowMillis) {
+        if (target.readmission().isEjected()) {
+            return target.readmission().isProbing(nowMillis)
                     ? VerdictState.READMITTING
                     : VerdictState.EJECTED;
         }
-        return standing.evidence().finding().thresholdRatio() >= SUSPECT_RATIO
+        return target.evidence().finding().thresholdRatio() >= SUSPECT_RATIO
                 ? VerdictState.SUSPECT
                 : VerdictState.HEALTHY;
     }
 
     private static double weight(
-            TargetState standing, VerdictState state, boolean isHeld, long nowMillis) {
-        if (standing.readmission().isEjected()) {
+            TargetState target, VerdictState state, boolean isKeptByFloor, long nowMillis) {
+        if (target.readmission().isEjected()) {
             return 0;
         }
-        if (isHeld) {
+        if (isKeptByFloor) {
             return KEPT_BY_FLOOR_WEIGHT;
         }
-        double ramp = rampWeight(standing, nowMillis);
+        double ramp = rampWeight(target, nowMillis);
         if (state == VerdictState.HEALTHY) {
             return ramp;
         }
-        double over =
-                (standing.evidence().finding().thresholdRatio() - SUSPECT_RATIO)
+        double excess =
+                (target.evidence().finding().thresholdRatio() - SUSPECT_RATIO)
                         / (1 - SUSPECT_RATIO);
-        return ramp * (1 - over * (1 - MIN_SUSPECT_WEIGHT));
+        return ramp * (1 - excess * (1 - MIN_SUSPECT_WEIGHT));
     }
 
-    private static double rampWeight(TargetState standing, long nowMillis) {
-        if (standing.readmittedMillis() == Long.MIN_VALUE) {
+    private static double rampWeight(TargetState target, long nowMillis) {
+        if (target.readmittedMillis() == Long.MIN_VALUE) {
             return 1;
         }
-        double done = (nowMillis - standing.readmittedMillis()) / (double) RAMP_MILLIS;
-        return Math.min(1, RAMP_START_WEIGHT + (1 - RAMP_START_WEIGHT) * done);
+        double elapsedShare = (nowMillis - target.readmittedMillis()) / (double) RAMP_MILLIS;
+        return Math.min(1, RAMP_START_WEIGHT + (1 - RAMP_START_WEIGHT) * elapsedShare);
     }
 
-    private static String text(TargetState standing, VerdictState state, boolean isHeld) {
+    private static String text(TargetState target, VerdictState state, boolean isKeptByFloor) {
         if (state == VerdictState.HEALTHY) {
             return NO_EVIDENCE;
         }
-        String text = standing.evidence().text();
-        if (standing.failureKey().isDominant()) {
+        String text = target.evidence().text();
+        if (target.failureKey().isDominant()) {
             text += "; most failures are of one route and member";
         }
-        if (isHeld) {
+        if (isKeptByFloor) {
             return text + "; kept in service by the floor";
         }
-        return standing.readmission().isEjected()
-                ? text + "; ejections in a row: " + standing.readmission().consecutiveEjections()
+        return target.readmission().isEjected()
+                ? text + "; ejections in a row: " + target.readmission().consecutiveEjections()
                 : text;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/detection/VerdictScope.java
+++ b/src/main/java/org/apricotgauge/decision/detection/VerdictScope.java
@@ -1,9 +1,9 @@
 package org.apricotgauge.decision.detection;
 
-/** For whom a verdict's evidence speaks. */
+/** What the evidence of a verdict concerns. */
 public enum VerdictScope {
-    /** The target itself: every node that holds the evidence comes to the same view. */
+    /** The target itself: every node with this evidence comes to the same verdict. */
     TARGET,
-    /** The path from this node, which is this node's matter alone. */
+    /** The path from this node to the target, which concerns this node alone. */
     PATH
 }
--- a/src/main/java/org/apricotgauge/decision/detection/VerdictState.java
+++ b/src/main/java/org/apricotgauge/decision/detection/VerdictState.java
@@ -1,13 +1,16 @@
 package org.apricotgauge.decision.detection;
 
-/** The standing of a target in detection. */
+/** The state of a target as decided by detection. */
 public enum VerdictState {
-    /** No evidence that matters. */
+    /** The evidence is below half the threshold. */
     HEALTHY,
-    /** Evidence short of the threshold, or past it while the floor keeps the target in service. */
+    /**
+     * The evidence is at least half the threshold; if it has reached the threshold, only the floor
+     * keeps the target in service.
+     */
     SUSPECT,
-    /** Takes no work until its hold time is over. */
+    /** Gets no requests until its ejection time is over. */
     EJECTED,
-    /** Takes no work but the few repeatable requests that try it. */
+    /** Gets only a few idempotent requests as probes. */
     READMITTING
 }
--- a/src/main/java/org/apricotgauge/decision/effect/Effect.java
+++ b/src/main/java/org/apricotgauge/decision/effect/Effect.java
@@ -1,12 +1,12 @@
 package org.apricotgauge.decision.effect;
 
 /**
- * The answer to "did this change help?".
+ * Whether a change improved outcomes, and the counts that show it.
  *
- * @param verdict the answer
- * @param before outcomes over all nodes that were looked at, before
- * @param after the same, after
- * @param reason what the answer rests on, in one line
+ * @param verdict whether the change helped
+ * @param before outcomes before the change, over all nodes that were compared
+ * @param after outcomes after the change, over the same nodes
+ * @param reason grounds of the verdict, in one line
  */
 public record Effect(Verdict verdict, OutcomeShare before, OutcomeShare after, String reason) {
 
@@ -16,7 +16,7 @@
         HELPED,
         /** The bad share rose by more than chance explains. */
         HARMED,
-        /** The difference may be chance, or there is too little to tell. */
+        /** The difference may be chance, or there is too little data to decide. */
         UNDECIDED
     }
 }
--- a/src/main/java/org/apricotgauge/decision/effect/EffectPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/effect/EffectPolicy.java
@@ -4,23 +4,24 @@
 import java.util.Locale;
 
 /**
- * Decides whether a change made outcomes better, from counts of several nodes.
+ * Decides whether a change improved outcomes, from the counts of several nodes.
  *
  * <pre>{@code
- * Effect effect = EffectPolicy.judge(List.of(new NodeEffect(before, after), ...));
+ * Effect effect = EffectPolicy.evaluate(List.of(new NodeOutcomes(before, after), ...));
  * }</pre>
  *
- * <p>Requests of one node share their fate: one sick target makes a run of bad outcomes. A test
- * that took each request for a draw of its own would see an effect in every burst. The nodes are
- * therefore the draws: the variance of the difference of the two shares is estimated over nodes, by
- * linearising the ratio (Cochran, "Sampling Techniques", chapter 6), and is never taken below the
- * binomial one. The threshold is Student's for an error of 1 in 100, two-sided. It can't tell a
- * change from something else that happened at the same moment. Pure.
+ * <p>Requests of one node are correlated: one degraded target causes a run of bad outcomes. A test
+ * that treated requests as independent would detect an effect in every burst. The nodes are
+ * therefore the sampling units: the variance of the difference of the two shares is estimated over
+ * nodes, by linearising the ratio (Cochran, "Sampling Techniques", chapter 6), and is never taken
+ * below the binomial one. The threshold is Student's t for a two-sided error of 1 in 100. The
+ * policy can't distinguish a change from another event at the same time. Stateless and without side
+ * effects.
  */
 public final class EffectPolicy {
     private static final int MIN_NODES = 3;
     private static final long MIN_REQUESTS = 100;
-    // Student's t at 0.995 for 2, 3, ... degrees of freedom, then the normal's.
+    // Student's t at 0.995 for 2 to 30 degrees of freedom; the last value is used above 30 too.
     private static final double[] STUDENT_T = {
         9.925, 5.841, 4.604, 4.032, 3.707, 3.499, 3.355, 3.250, 3.169, 3.106, 3.055, 3.012, 2.977,
         2.947, 2.921, 2.898, 2.878, 2.861, 2.845, 2.831, 2.819, 2.807, 2.797, 2.787, 2.779, 2.771,
@@ -30,7 +31,7 @@
 
     private EffectPolicy() {}
 
-    /** Judges by the nodes that saw requests both before and after. */
+    /** Evaluates a change by the nodes that had requests both before and after it. */
     public static Effect evaluate(List<NodeOutcomes> nodes) {
         List<NodeOutcomes> both =
                 nodes.stream()
--- a/src/main/java/org/apricotgauge/decision/effect/OutcomeShare.java
+++ b/src/main/java/org/apricotgauge/decision/effect/OutcomeShare.java
@@ -3,14 +3,14 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Requests, and how many of them ended badly.
+ * The number of requests, and how many of them had a bad outcome.
  *
- * @param bad requests that did not get the answer that they asked for
+ * @param bad requests that did not get the answer that they requested
  * @param requests all requests
  */
 public record OutcomeShare(long bad, long requests) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public OutcomeShare {
         Checks.inRange("requests", requests, 0, Long.MAX_VALUE);
         Checks.inRange("bad", bad, 0, requests);
@@ -21,7 +21,7 @@
         return new OutcomeShare(bad + other.bad, requests + other.requests);
     }
 
-    /** Returns the bad ones' share, from 0 to 1; 0 if there were no requests. */
+    /** Returns the share of bad outcomes, from 0 to 1; 0 if there were no requests. */
     public double share() {
         return requests == 0 ? 0 : (double) bad / requests;
     }
--- a/src/main/java/org/apricotgauge/decision/effect/package-info.java
+++ b/src/main/java/org/apricotgauge/decision/effect/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a change of the configuration made outcomes better or worse. */
+/** Decides whether a change of the configuration improved or worsened outcomes. */
 package org.apricotgauge.decision.effect;
--- a/src/test/java/org/apricotgauge/decision/access/AccessPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/access/AccessPolicyTest.java
@@ -12,7 +12,7 @@
 import org.apricotgauge.model.Route;
 import org.junit.jupiter.api.Test;
 
-/** Who comes in, by key and route. */
+/** Tests access by key and route. */
 class AccessPolicyTest {
     private static final KeyDigest KEY = KeyDigest.of("k1");
     private static final Member MEMBER = new Member("stable", 1, List.of(KEY), null, null);
@@ -48,11 +48,11 @@
                 .isEqualTo(new Access.Denied(Access.Reason.KEY_MISSING));
     }
 
-    // Guards against a site without keys that refuses callers for what they send.
+    // Guards against denying callers for the credentials that they send, at a site without keys.
     @Test
     void grantsAccessToAllWhenNoMemberHasAKey() {
-        for (Credentials any : List.of(Credentials.NONE, UNKNOWN, Credentials.UNREADABLE)) {
-            assertThat(AccessPolicy.decide(Configuration.EMPTY, PROTECTED, any))
+        for (Credentials credentials : List.of(Credentials.NONE, UNKNOWN, Credentials.UNREADABLE)) {
+            assertThat(AccessPolicy.decide(Configuration.EMPTY, PROTECTED, credentials))
                     .isEqualTo(new Access.Granted(Optional.empty()));
         }
     }
--- a/src/test/java/org/apricotgauge/decision/detection/DetectorHarness.java
+++ b/src/test/java/org/apricotgauge/decision/detection/DetectorHarness.java
@@ -7,7 +7,7 @@
 import org.apricotgauge.model.DetectionOdds;
 import org.apricotgauge.model.Service;
 
-/** A detector with targets that answer by simple laws, on a clock of its own. */
+/** A detector with simulated targets, on a clock of its own. */
 final class DetectorHarness {
     static final long FAILS = -1;
     static final long SHEDS = -2;
@@ -34,7 +34,7 @@
         decide();
     }
 
-    ConfiguredTargets membership() {
+    ConfiguredTargets configuredTargets() {
         List<ConfiguredTargets.ConfiguredTarget> entries = new ArrayList<>();
         for (int i = 0; i < mIds.length; i++) {
             entries.add(new ConfiguredTargets.ConfiguredTarget(mIds[i], mSlots, mPresence[i]));
@@ -43,7 +43,7 @@
     }
 
     void decide() {
-        mVerdicts = mDetector.decide(mNowMillis, membership());
+        mVerdicts = mDetector.decide(mNowMillis, configuredTargets());
     }
 
     /** Returns a healthy service time around 20 ms. */
@@ -59,24 +59,28 @@
         return sum;
     }
 
-    /** Sends rounds of one request to each eligible target, 100 ms apart; the law gives micros. */
-    void rounds(int rounds, ObservationPoint end, ToLongFunction<String> law) {
+    /**
+     * Sends rounds of one request to each eligible target, 100 ms apart.
+     *
+     * @param serviceMicros service time of a target by its id, or {@link #FAILS} or {@link #SHEDS}
+     */
+    void rounds(int rounds, ObservationPoint point, ToLongFunction<String> serviceMicros) {
         for (int round = 0; round < rounds; round++) {
             mNowMillis += 100;
             for (String id : mIds) {
                 if (mVerdicts.isEligible(id) || mVerdicts.probesDue().contains(id)) {
-                    observe(id, end, law.applyAsLong(id));
+                    observe(id, point, serviceMicros.applyAsLong(id));
                 }
             }
             decide();
         }
     }
 
-    void observe(String id, ObservationPoint end, long micros) {
+    void observe(String id, ObservationPoint point, long micros) {
         ObservedOutcome outcome = ObservedOutcome.SUCCESS;
         if (micros == FAILS) {
             outcome =
-                    end == ObservationPoint.GUARD
+                    point == ObservationPoint.GUARD
                             ? ObservedOutcome.TARGET_ERROR
                             : ObservedOutcome.PATH_FAULT;
         } else if (micros == SHEDS) {
@@ -84,17 +88,17 @@
         }
         mDetector.observe(
                 new Observation(
-                        id, end, outcome, Math.max(0, micros), mNowMillis, Observation.NO_KEY));
+                        id, point, outcome, Math.max(0, micros), mNowMillis, Observation.NO_KEY));
     }
 
     void healthy(int rounds) {
         rounds(rounds, ObservationPoint.GUARD, id -> healthyMicros());
     }
 
-    /** Runs until the target is out, and returns how many rounds that took, at most the limit. */
-    int roundsToEjection(String target, int limit, ToLongFunction<String> law) {
+    /** Runs until a target is ejected; returns the number of rounds, or the limit plus 1. */
+    int roundsToEjection(String target, int limit, ToLongFunction<String> serviceMicros) {
         for (int round = 1; round <= limit; round++) {
-            rounds(1, ObservationPoint.GUARD, law);
+            rounds(1, ObservationPoint.GUARD, serviceMicros);
             if (!mVerdicts.isEligible(target)) {
                 return round;
             }
--- a/src/test/java/org/apricotgauge/decision/detection/FloorProperties.java
+++ b/src/test/java/org/apricotgauge/decision/detection/FloorProperties.java
@@ -22,7 +22,7 @@
     private static final int TARGETS = 6;
     private static final int SLOTS = 3;
 
-    /** One step of a run: what it does, to which target, how often. */
+    /** One step of a simulation: an action, its target and the number of repetitions. */
     record Step(Action action, int target, int times) {}
 
     enum Action {
@@ -51,31 +51,32 @@
     }
 
     /*
-     * Any course of evidence, membership and floors. After every decision the capacity is counted
-     * plainly: while anything is ejected, the present targets that are left reach the floor.
+     * Any sequence of evidence, target presence and floors. After every decision the capacity is
+     * counted independently: while any target is ejected, the targets left in service reach the
+     * floor.
      */
     @Property(seed = "6", tries = 1_000)
     void ejectionsNeverBreakTheFloor(
             @ForAll("runs") List<Step> steps, @ForAll @IntRange(max = 100) int floorPercent) {
-        Simulation run = new Simulation(floorPercent);
+        Simulation simulation = new Simulation(floorPercent);
         for (Step step : steps) {
-            run.apply(step);
-            run.checkAgainstOracle();
+            simulation.apply(step);
+            simulation.checkAgainstOracle();
         }
     }
 
     /*
-     * Nodes hold different evidence, as in a partition, and each keeps the floor by itself. Then
+     * Nodes have different evidence, as in a partition, and each keeps the floor by itself. Then
      * any set of entries together reaches at least the floor's slots, so that a load of up to the
-     * floor can be served however it is spread over the entries (Hall 1935).
+     * floor can be served however it is distributed over the entries (Hall 1935).
      */
     @Property(seed = "7", tries = 300)
     void everySetOfEntriesReachesTheFloorDespiteDifferingEvidence(
             @ForAll("runs") List<Step> first, @ForAll("runs") List<Step> second) {
         Simulation one = new Simulation(60);
         Simulation other = new Simulation(60);
-        first.stream().filter(step -> !isMembership(step)).forEach(one::apply);
-        second.stream().filter(step -> !isMembership(step)).forEach(other::apply);
+        first.stream().filter(step -> !changesCapacity(step)).forEach(one::apply);
+        second.stream().filter(step -> !changesCapacity(step)).forEach(other::apply);
         Set<String> union = new HashSet<>(one.eligible());
         union.addAll(other.eligible());
         assertThat(one.eligible().size() * SLOTS).isGreaterThanOrEqualTo(11);
@@ -83,7 +84,7 @@
         assertThat(union.size() * SLOTS).isGreaterThanOrEqualTo(11);
     }
 
-    private static boolean isMembership(Step step) {
+    private static boolean changesCapacity(Step step) {
         return switch (step.action()) {
             case LEAVE, TERMINATE, RAMP, RETURN, CHANGE_FLOOR -> true;
             default -> false;
@@ -92,7 +93,7 @@
 
     @Test
     void throwsWhenEjectionsBreakTheFloor() {
-        ConfiguredTargets membership =
+        ConfiguredTargets configuredTargets =
                 new ConfiguredTargets(
                         List.of(
                                 new ConfiguredTargets.ConfiguredTarget(
@@ -103,7 +104,7 @@
         verdicts.put("t0", verdict("t0", VerdictState.EJECTED));
         verdicts.put("t1", verdict("t1", VerdictState.HEALTHY));
         assertThatIllegalStateException()
-                .isThrownBy(() -> FloorPolicy.eligibleSlots(verdicts, membership, 4))
+                .isThrownBy(() -> FloorPolicy.eligibleSlots(verdicts, configuredTargets, 4))
                 .withMessageContaining("leave 3 slots, the floor is 4");
     }
 
@@ -111,7 +112,7 @@
         return new EjectionVerdict(id, state, 0, VerdictScope.TARGET, 0, 1, false, "");
     }
 
-    /** A detector under the steps, and the oracle that counts its capacity. */
+    /** A detector that the steps are applied to, and the oracle that counts its capacity. */
     private static final class Simulation {
         private final DetectorHarness mPool;
         private final ServiceDetector mRemote;
@@ -144,7 +145,7 @@
                 case WAIT -> mPool.mNowMillis += step.times() * 1_000L;
                 default -> {}
             }
-            mVerdicts = mDetector.decide(mPool.mNowMillis, mPool.membership());
+            mVerdicts = mDetector.decide(mPool.mNowMillis, mPool.configuredTargets());
         }
 
         private void observe(Action action, String id) {
@@ -188,18 +189,18 @@
 
         void checkAgainstOracle() {
             int floorSlots = (TARGETS * SLOTS * mFloorPercent + 99) / 100;
-            int left = 0;
+            int eligibleSlots = 0;
             boolean isAnyEjected = false;
             for (int i = 0; i < TARGETS; i++) {
                 boolean isPresent = mPool.mPresence[i] == TargetPresence.PRESENT;
                 boolean isEligible = mVerdicts.isEligible(mPool.mIds[i]);
-                left += isPresent && isEligible ? SLOTS : 0;
+                eligibleSlots += isPresent && isEligible ? SLOTS : 0;
                 isAnyEjected |= isPresent && !isEligible;
             }
-            assertThat(!isAnyEjected || left >= floorSlots)
-                    .as("%d slots left, floor %d", left, floorSlots)
+            assertThat(!isAnyEjected || eligibleSlots >= floorSlots)
+                    .as("%d slots eligible, floor %d", eligibleSlots, floorSlots)
                     .isTrue();
-            assertThat(mVerdicts.eligibleSlots()).isEqualTo(left);
+            assertThat(mVerdicts.eligibleSlots()).isEqualTo(eligibleSlots);
         }
     }
 }
--- a/src/test/java/org/apricotgauge/decision/detection/ServiceDetectorTest.java
+++ b/src/test/java/org/apricotgauge/decision/detection/ServiceDetectorTest.java
@@ -20,8 +20,8 @@
     }
 
     /*
-     * A target answers its health check but fails every request. Callers see errors from one in
-     * nine requests until the guard's evidence has crossed the threshold, after four requests.
+     * A target answers its health check but fails every request. Callers get errors on one in nine
+     * requests until the guard's evidence crosses the threshold, after four requests.
      */
     @Test
     void ejectsATargetThatFailsEveryRequest() {
@@ -35,8 +35,8 @@
     }
 
     /*
-     * A straggler answers everything, three times slower. No request fails, so rules on errors see
-     * nothing; compared with its fellows it stands out after some ten requests.
+     * A target answers every request, but three times slower. No request fails, so rules on errors
+     * don't detect it; compared with the other targets it stands out after about ten requests.
      */
     @Test
     void ejectsASlowTarget() {
@@ -47,13 +47,13 @@
     }
 
     /*
-     * A target hangs: it takes requests and answers none. With deadlines of many seconds callers
-     * would wait for all of them; observed as overdue while they run, four are enough.
+     * A target hangs: it accepts requests and answers none. With deadlines of many seconds callers
+     * would wait for all of them; observed as unresponsive while they run, four are enough.
      */
     @Test
     void ejectsATargetThatHangs() {
-        long overdueMicros = mPool.mDetector.unresponsiveAfterMicros(ObservationPoint.GUARD);
-        assertThat(overdueMicros).isBetween(80_000L, 300_000L);
+        long unresponsiveMicros = mPool.mDetector.unresponsiveAfterMicros(ObservationPoint.GUARD);
+        assertThat(unresponsiveMicros).isBetween(80_000L, 300_000L);
         for (int i = 0; i < 4; i++) {
             mPool.mNowMillis += 100;
             for (String id : mPool.mIds) {
@@ -66,7 +66,7 @@
                             "t3",
                             ObservationPoint.GUARD,
                             ObservedOutcome.UNRESPONSIVE,
-                            overdueMicros,
+                            unresponsiveMicros,
                             mPool.mNowMillis,
                             Observation.NO_KEY));
             mPool.decide();
@@ -75,8 +75,8 @@
     }
 
     /*
-     * A partial fault: one member's requests, every fourth here, fail on one target alone. Most of
-     * its answers are good, so there are never five errors in a row.
+     * A partial fault: one member's requests, every fourth here, fail at one target only. Most of
+     * its answers are successes, so there are never five consecutive errors.
      */
     @Test
     void ejectsATargetThatFailsOneMember() {
@@ -101,9 +101,9 @@
     }
 
     /*
-     * The whole service turns five times slower at once, as in a global overload. Each target
-     * crosses its threshold against the baseline of the minutes before; ejecting any would put its
-     * load on the rest.
+     * The whole service becomes five times slower at once, as in a global overload. Each target
+     * crosses its threshold against the baseline of the minutes before; ejecting any of them would
+     * put its load on the rest.
      */
     @Test
     void ejectsNoTargetWhenTheWholeServiceSlowsDown() {
@@ -114,8 +114,8 @@
     }
 
     /*
-     * An overload begins, and by chance one target's slow answers come first. Its fellows are as
-     * slow, but their answers are still on the way; until they come, nobody is ejected.
+     * An overload begins, and by chance one target's slow answers arrive first. The other targets
+     * are as slow, but their answers are still pending; until they arrive, no target is ejected.
      */
     @Test
     void waitsForAnswersOfTheOtherTargets() {
@@ -128,7 +128,7 @@
     }
 
     /*
-     * A failure domain of three targets slows down. They may be ejected as far as the floor lets,
+     * A failure domain of three targets slows down. They may be ejected as far as the floor allows,
      * but no target of another domain may.
      */
     @Test
@@ -147,7 +147,7 @@
     }
 
     /*
-     * A target refuses half its requests with 503 as it is at its limit. Read as errors, these
+     * A target sheds half its requests with 503 as it is at its limit. Counted as errors, these
      * would eject it and push the next target over its limit.
      */
     @Test
@@ -161,8 +161,8 @@
     }
 
     /*
-     * A restarted target answers slowly in its cold start, and is fast after it. Its slow answers
-     * count neither against it nor in its fellows' baseline.
+     * A restarted target answers slowly during its cold start, and fast after it. Its slow answers
+     * count neither against it nor in the other targets' baseline.
      */
     @Test
     void ignoresSlownessDuringColdStart() {
@@ -180,8 +180,8 @@
     }
 
     /*
-     * The answers from one target to this entry are lost: a one-way partition. The guard sees them
-     * served. This entry stops using the target; a node that hears of it goes on.
+     * The answers from one target to this entry are lost in a one-way partition, while the guard
+     * observes successes. This entry ejects the target; a node that receives its digest doesn't.
      */
     @Test
     void limitsAPathFaultToThisEntry() {
@@ -203,9 +203,9 @@
     }
 
     /*
-     * A sick entry sees one target fail and tells the others. The target has no guard, so that they
-     * have no better witness; still, one entry may be wrong about its path. With a second and a
-     * third entry that see the same, the target is ejected.
+     * One entry observes failures of a target and reports them. The target has no guard, so the
+     * other nodes have no better evidence; still, one entry alone may have a broken path. Once a
+     * second and a third entry report the same, the target is ejected.
      */
     @Test
     void ejectsOnRemoteEntryEvidenceOnlyByQuorum() {
@@ -216,9 +216,9 @@
         }
         for (int round = 0; round < 120; round++) {
             other.mNowMillis += 100;
-            int sick = round < 60 ? 0 : round < 90 ? 1 : entries.length;
+            int failing = round < 60 ? 0 : round < 90 ? 1 : entries.length;
             for (int i = 0; i < entries.length; i++) {
-                observeAll(entries[i], other, i < sick);
+                observeAll(entries[i], other, i < failing);
                 other.mDetector.mergeRemote("e" + i, entries[i].digest(), other.mNowMillis);
             }
             other.decide();
@@ -227,9 +227,10 @@
         assertThat(other.mVerdicts.isEligible("t3")).isFalse();
     }
 
-    private static void observeAll(ServiceDetector entry, DetectorHarness pool, boolean isSick) {
+    private static void observeAll(
+            ServiceDetector entry, DetectorHarness pool, boolean observesFailures) {
         for (String id : pool.mIds) {
-            boolean isFailing = isSick && id.equals("t3");
+            boolean isFailing = observesFailures && id.equals("t3");
             entry.observe(
                     new Observation(
                             id,
@@ -242,20 +243,20 @@
     }
 
     /*
-     * Guards tell a node that serves no request itself what they see, by digests that come late,
-     * twice and out of order. It ejects the failing target all the same, and counts nothing twice:
-     * that takes four failed requests.
+     * A node without requests of its own gets a guard's digests late, duplicated and out of order.
+     * It ejects the failing target nevertheless, and counts nothing twice: that takes four failed
+     * requests.
      */
     @Test
     void ejectsOnGuardDigestsOfAnotherNode() {
         DetectorHarness other = new DetectorHarness(9, 3, 60);
         EvidenceDigest last = mPool.mDetector.digest();
         for (int round = 0; round < 60; round++) {
-            boolean isSick = round >= 50;
+            boolean isFailing = round >= 50;
             mPool.rounds(
                     1,
                     ObservationPoint.GUARD,
-                    id -> isSick && id.equals("t3") ? FAILS : mPool.healthyMicros());
+                    id -> isFailing && id.equals("t3") ? FAILS : mPool.healthyMicros());
             EvidenceDigest digest = mPool.mDetector.digest();
             other.mNowMillis = mPool.mNowMillis;
             other.mDetector.mergeRemote("guard", digest, other.mNowMillis);
@@ -269,40 +270,40 @@
     }
 
     /*
-     * A target fails, is ejected, mends, and is tried by single requests no more than four a
-     * second. A few good answers bring it back.
+     * A target fails, is ejected, recovers, and is probed by at most four single requests per
+     * second. A few successes readmit it.
      */
     @Test
     void readmitsAfterAFewProbes() {
         mPool.roundsToEjection("t3", 20, id -> id.equals("t3") ? FAILS : mPool.healthyMicros());
-        int[] tried = {0};
+        int[] probes = {0};
         mPool.rounds(
                 60,
                 ObservationPoint.GUARD,
                 id -> {
-                    tried[0] += id.equals("t3") && !mPool.mVerdicts.isEligible("t3") ? 1 : 0;
+                    probes[0] += id.equals("t3") && !mPool.mVerdicts.isEligible("t3") ? 1 : 0;
                     return mPool.healthyMicros();
                 });
         assertThat(mPool.mVerdicts.isEligible("t3")).isTrue();
-        assertThat(tried[0]).isBetween(2, 8);
+        assertThat(probes[0]).isBetween(2, 8);
     }
 
     /*
-     * A target is good for 10 s and fails for 10 s, again and again. Each return costs callers a
-     * few errors; the hold time doubles, so that the errors become rare.
+     * A target repeatedly succeeds for 10 s and fails for 10 s. Each readmission costs callers a
+     * few errors; the ejection time doubles, so that the errors become rare.
      */
     @Test
     void errorsOfAFlappingTargetBecomeRare() {
         int[] errors = new int[2];
         for (int half = 0; half < 2; half++) {
             for (int round = 0; round < 6_000; round++) {
-                boolean isBad = round / 100 % 2 == 0;
+                boolean isFailing = round / 100 % 2 == 0;
                 int now = half;
                 mPool.rounds(
                         1,
                         ObservationPoint.GUARD,
                         id -> {
-                            if (!isBad || !id.equals("t3")) {
+                            if (!isFailing || !id.equals("t3")) {
                                 return mPool.healthyMicros();
                             }
                             errors[now]++;
@@ -315,8 +316,8 @@
     }
 
     /*
-     * Three targets are ejected, which takes the service down to its floor. Then a healthy one
-     * dies: the least bad of the three, the slow one, serves again in the very next decision.
+     * Three targets are ejected, which brings the service down to its floor. Then a healthy one
+     * terminates: the least degraded of the three, the slow one, returns with the next decision.
      */
     @Test
     void readmitsTheLeastDegradedTargetWhenCapacityIsLost() {
@@ -339,8 +340,8 @@
     }
 
     /*
-     * Hardly any traffic: one request to each target in ten seconds. A target that fails all is
-     * found by a handful of requests, and time alone adds no evidence.
+     * Low traffic: one request to each target in ten seconds. A target that fails every request is
+     * detected within five requests, and time alone adds no evidence.
      */
     @Test
     void ejectsAFailingTargetAtLowTraffic() {
@@ -363,10 +364,10 @@
 
     @Test
     void requiresMoreEvidenceWhenFalseEjectionsCostMore() {
-        Service careful = new Service("s", 60, DetectorHarness.ODDS, 0, 100, null);
-        double dear = DetectionThreshold.nats(careful.detection(), 10, 1);
+        Service service = new Service("s", 60, DetectorHarness.ODDS, 0, 100, null);
+        double costly = DetectionThreshold.nats(service.detection(), 10, 1);
         double cheap =
                 DetectionThreshold.nats(new org.apricotgauge.model.DetectionOdds(1, 20), 10, 1);
-        assertThat(dear).isGreaterThan(cheap);
+        assertThat(costly).isGreaterThan(cheap);
     }
 }
--- a/src/test/java/org/apricotgauge/decision/effect/EffectPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/effect/EffectPolicyTest.java
@@ -14,21 +14,21 @@
     private static final int REQUESTS = 1_000;
 
     /**
-     * Bad outcomes come in bursts: at each time a few nodes have much worse ones than the rest. A
-     * test that takes requests for independent calls most patches a help or a harm that are
-     * neither. At an error of 1 in 100 some 10 of 1,000 are expected; the seed is fixed.
+     * Bad outcomes come in bursts: at each time a few nodes have many more of them than the rest. A
+     * test that treats requests as independent decides that most patches helped or harmed, though
+     * they did neither. At an error of 1 in 100 about 10 of 1,000 are expected; the seed is fixed.
      */
     @Test
     void burstsAtSomeNodesAreUndecided() {
         Random random = new Random(1721);
-        int judged = 0;
+        int decided = 0;
         for (int trial = 0; trial < TRIALS; trial++) {
             if (verdict(random, 0.02, 0.02) != Effect.Verdict.UNDECIDED) {
-                judged++;
+                decided++;
             }
         }
 
-        assertThat(judged).isLessThanOrEqualTo(TRIALS * 2 / 100);
+        assertThat(decided).isLessThanOrEqualTo(TRIALS * 2 / 100);
     }
 
     @Test
@@ -57,12 +57,12 @@
 
     private static double shareOfTrials(
             Random random, Effect.Verdict verdict, double before, double after) {
-        long found =
+        long count =
                 Stream.generate(() -> verdict(random, before, after))
                         .limit(TRIALS)
                         .filter(verdict::equals)
                         .count();
-        return (double) found / TRIALS;
+        return (double) count / TRIALS;
     }
 
     private static Effect.Verdict verdict(Random random, double before, double after) {
@@ -75,7 +75,7 @@
         return EffectPolicy.evaluate(nodes).verdict();
     }
 
-    /** A node's share is drawn anew at each time, with an exponential spread around the mean. */
+    /** Draws a new share of bad outcomes for a node, exponentially distributed with this mean. */
     private static OutcomeShare outcomesInBursts(Random random, double meanShare) {
         double share = Math.min(1, -Math.log(1 - random.nextDouble()) * meanShare);
         long bad = 0;
