--- a/src/main/java/org/apricotgauge/decision/attempt/Attempt.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/Attempt.java
@@ -4,7 +4,7 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * An attempt as addressed to one run of one guard: it can start there, before its time, or nowhere.
+ * Attempt addressed to one incarnation of one guard; it can start only there and only in time.
  *
  * <pre>{@code
  * request.headers(fields -> fields.put(Attempt.HEADER, attempt.toString()));
@@ -12,8 +12,8 @@
  * }</pre>
  *
  * @param id identifier of the attempt
- * @param guardIncarnation the run of the guard that it is meant for
- * @param latestStartMillis after this reading of that guard's clock it no longer starts
+ * @param guardIncarnation incarnation of the guard that it is addressed to
+ * @param latestStartMillis reading of that guard's clock after which it no longer starts
  */
 public record Attempt(AttemptId id, long guardIncarnation, long latestStartMillis) {
     /** Header that carries the attempt from the entry to the guard. */
@@ -22,23 +22,22 @@
     private static final char SEPARATOR = ';';
     private static final int DECIMAL = 10;
 
-    /** Checks the identifier. */
     public Attempt {
         Checks.notNull("id", id);
     }
 
     /**
-     * Returns a further attempt of the same submission, bound to the same run and time as this one.
+     * Returns another attempt of the same submission, with this one's incarnation and latest start.
      *
-     * <p>For {@link RetryDecision.RetryAtSameGuard}. A later time, taken from a clock that stood
-     * still meanwhile, could outlive the guard's memory of the key, and the request would run
-     * again.
+     * <p>For {@link RetryDecision.RetryAtSameGuard}. A later start time, computed from a clock that
+     * stood still in between, could outlast the guard's record of the key, and the request would
+     * run a second time.
      */
     public Attempt withId(AttemptId newId) {
         return new Attempt(newId, guardIncarnation, latestStartMillis);
     }
 
-    /** Returns the attempt that the text gives, or nothing if the text is malformed. */
+    /** Parses the text of the header; returns empty if it is malformed. */
     public static Optional<Attempt> parse(String text) {
         int idEnd = text.indexOf(SEPARATOR);
         int incarnationEnd = text.indexOf(SEPARATOR, idEnd + 1);
@@ -58,7 +57,7 @@
                         Long.parseLong(text, incarnationEnd + 1, text.length(), DECIMAL)));
     }
 
-    /** Returns the text for the header: identifier, incarnation in hexadecimal, latest start. */
+    /** Returns the header's text: identifier, incarnation in hexadecimal, latest start. */
     @Override
     public String toString() {
         return id.toString()
--- a/src/main/java/org/apricotgauge/decision/attempt/AttemptAdmission.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptAdmission.java
@@ -1,25 +1,25 @@
 package org.apricotgauge.decision.attempt;
 
-/** The ledger's verdict on an attempt that arrives at a guard. */
+/** Decision of an {@link AttemptLedger} on an attempt that arrives at a guard. */
 public enum AttemptAdmission {
-    /** It may go on to the queue; nothing of it has gone to the target. */
+    /** May proceed to the queue; nothing has been sent to the target yet. */
     ADMITTED(false),
-    /** It was fenced or withdrawn before; it never starts. */
+    /** Was fenced or withdrawn before; it never starts. */
     FENCED(true),
-    /** The same attempt is here already; this copy is dropped, and the first one counts. */
+    /** Is already known; this duplicate is dropped, and the first one counts. */
     DUPLICATE(false),
-    /** Its latest start has passed, and it was never seen before. */
+    /** Arrived for the first time after its latest start. */
     EXPIRED(true),
-    /** It was addressed to another run of the guard. */
+    /** Was addressed to another incarnation of the guard. */
     OTHER_INCARNATION(true),
     /**
-     * Its latest start lies further ahead than the guard remembers; no mark is left, so a second
-     * copy, which comes a little later, may be admitted.
+     * Its latest start lies further ahead than the ledger keeps entries. Nothing is recorded, so a
+     * duplicate that arrives a little later may be admitted.
      */
     TOO_FAR_AHEAD(false),
-    /** Too many attempts are under way. */
+    /** Too many attempts are in flight. */
     FULL(true),
-    /** It may have been here before; its traces are gone. */
+    /** May have arrived before; its entry could have been evicted or have expired. */
     FORGOTTEN(false);
 
     private final boolean mProvesNotRun;
@@ -29,11 +29,12 @@
     }
 
     /**
-     * Tells whether a refusal with this verdict proves that the attempt did not run and won't.
+     * Returns whether a refusal with this decision proves that the attempt did not and will not
+     * run.
      *
-     * <p>For {@link #OTHER_INCARNATION} the proof needs the entry's rule that an attempt is written
-     * to one connection only: a connection ends with the process that accepted it, so that no
-     * earlier run of the guard can have received the attempt.
+     * <p>For {@link #OTHER_INCARNATION} the proof relies on entries writing each attempt to one
+     * connection only: a connection ends with the process that accepted it, so no earlier
+     * incarnation of the guard can have received the attempt.
      */
     public boolean provesNotRun() {
         return mProvesNotRun;
--- a/src/main/java/org/apricotgauge/decision/attempt/AttemptId.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptId.java
@@ -4,7 +4,7 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Names one attempt for ever: no two attempts of the fleet share an identifier.
+ * Identifier of an attempt, unique across the fleet and over time.
  *
  * <pre>{@code
  * AttemptId id = new AttemptId("node-17", 0x5f3aL, 42);
@@ -13,19 +13,18 @@
  *
  * @param entryNode identifier of the entry node
  * @param entryIncarnation random number that the entry drew when its process started
- * @param counter counts up within the incarnation
+ * @param counter sequence number within the incarnation
  */
 public record AttemptId(String entryNode, long entryIncarnation, long counter) {
     private static final char SEPARATOR = ':';
     private static final int DECIMAL = 10;
 
-    /** Checks the parts. */
     public AttemptId {
         Checks.id("entryNode", entryNode);
         Checks.inRange("counter", counter, 0, Long.MAX_VALUE);
     }
 
-    /** Returns the identifier that the text gives, or nothing if the text is malformed. */
+    /** Parses an identifier; returns empty if the text is malformed. */
     public static Optional<AttemptId> parse(String text) {
         int nodeEnd = text.indexOf(SEPARATOR);
         int incarnationEnd = text.indexOf(SEPARATOR, nodeEnd + 1);
@@ -45,7 +44,7 @@
                         Long.parseLong(text, incarnationEnd + 1, text.length(), DECIMAL)));
     }
 
-    /** Returns the text for a header: node, incarnation in hexadecimal, counter. */
+    /** Returns the text used in headers: node, incarnation in hexadecimal, counter. */
     @Override
     public String toString() {
         return entryNode + SEPARATOR + Long.toHexString(entryIncarnation) + SEPARATOR + counter;
--- a/src/main/java/org/apricotgauge/decision/attempt/AttemptLedger.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptLedger.java
@@ -7,10 +7,10 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * A guard's memory of attempts: which may still start, which did, which never will.
+ * Tracks the state of each attempt at a guard: whether it may start, has started, or never will.
  *
  * <pre>{@code
- * if (ledger.admit(attempt, now) == Arrival.ADMITTED) {
+ * if (ledger.admit(attempt, now) == AttemptAdmission.ADMITTED) {
  *     // wait for a slot, connect to the target, then:
  *     if (ledger.started(attempt)) {
  *         // write the first byte; later completed(...) or broken(...)
@@ -19,8 +19,8 @@
  * }</pre>
  *
  * <p>Every admitted attempt must end in exactly one of {@link #withdraw}, {@link #completed} and
- * {@link #broken}, also when a fence came in between. Times are readings of the guard's own
- * monotonic clock. One lock, held for a few hash and heap steps; safe to share between threads.
+ * {@link #broken}, even if it was fenced in between. Times are readings of the guard's own
+ * monotonic clock. Thread-safe; one lock is held for a few hash and heap operations.
  */
 public final class AttemptLedger {
 
@@ -54,38 +54,37 @@
     private int mInFlight;
     private long mLatestMillis = Long.MIN_VALUE;
 
-    // An entry dropped for lack of room leaves this trace: whatever is not in the table and starts
-    // no later may be the one dropped. Without it a fence would call a completed attempt "not run".
+    // Greatest latest start of any entry evicted for lack of space. An attempt that is not in the
+    // table and starts no later may be an evicted one; without this bound a fence would report a
+    // completed attempt as "not run".
     private long mForgottenUpToMillis = Long.MIN_VALUE;
 
     /**
-     * Takes the run of the guard and the bounds.
+     * Creates the ledger of one guard process.
      *
-     * @param incarnation drawn anew, at random, by each start of the process
+     * @param incarnation random number drawn anew at each start of the process
      */
     public AttemptLedger(long incarnation, AttemptLimits limits) {
         mIncarnation = incarnation;
         mLimits = Checks.notNull("limits", limits);
     }
 
-    /** Returns what the guard tells entries with each answer. */
+    /** Returns the stamp that the guard sends with each answer. */
     public GuardStamp stamp(long nowMillis) {
         return new GuardStamp(mIncarnation, nowMillis);
     }
 
-    /**
-     * Decides on an attempt that arrives; only {@link AttemptAdmission#ADMITTED} may go further.
-     */
+    /** Decides on an attempt that arrives; only {@link AttemptAdmission#ADMITTED} may proceed. */
     public synchronized AttemptAdmission admit(Attempt attempt, long nowMillis) {
-        // A restarted guard remembers no fence that its predecessor promised; an attempt that was
-        // held up on the way would run after its caller was told "not run".
+        // A restarted guard does not know the fences that its predecessor acknowledged; an attempt
+        // delayed in transit would run after its caller had received "not run".
         if (attempt.guardIncarnation() != mIncarnation) {
             return AttemptAdmission.OTHER_INCARNATION;
         }
         advance(nowMillis);
-        Entry known = mEntries.get(attempt);
-        if (known != null) {
-            return known.mState == State.FENCED
+        Entry existing = mEntries.get(attempt);
+        if (existing != null) {
+            return existing.mState == State.FENCED
                     ? AttemptAdmission.FENCED
                     : AttemptAdmission.DUPLICATE;
         }
@@ -108,9 +107,9 @@
     }
 
     /**
-     * Decides on an attempt that is remembered elsewhere, by its key: only its run and time count.
+     * Decides on an attempt that is tracked elsewhere by its key, from incarnation and time only.
      *
-     * <p>Unlike {@link #admit} it leaves no trace and does not tell copies apart.
+     * <p>Unlike {@link #admit}, records nothing and does not detect duplicates.
      */
     public synchronized AttemptAdmission check(Attempt attempt, long nowMillis) {
         if (attempt.guardIncarnation() != mIncarnation) {
@@ -124,9 +123,9 @@
     }
 
     /**
-     * Asks whether the first byte may go to the target; call it just before that byte is written.
+     * Marks an attempt as started; must be called just before its first byte is written.
      *
-     * @return false if the attempt was fenced or withdrawn in the meantime: write nothing then
+     * @return false if the attempt was fenced or withdrawn in the meantime: nothing may be written
      */
     public synchronized boolean started(Attempt attempt) {
         Entry entry = mEntries.get(attempt);
@@ -138,8 +137,8 @@
     }
 
     /**
-     * Gives up an admitted attempt before its first byte: refused by the queue, cancelled, or the
-     * target can't be reached.
+     * Ends an admitted attempt before its first byte, because the queue rejected it, it was
+     * cancelled, or the target is unreachable.
      *
      * @return true if this proves that it did not run; false if it had started
      */
@@ -163,17 +162,17 @@
         end(entry, State.COMPLETED);
     }
 
-    /** Records that a started attempt ended without a whole answer of the target. */
+    /** Records that a started attempt ended without a complete answer from the target. */
     public synchronized void broken(Attempt attempt, long nowMillis) {
         advance(nowMillis);
         end(startedEntry(attempt), State.BROKEN);
     }
 
     /**
-     * Stops an attempt that has not started, for good, and tells how far it came.
+     * Prevents an attempt that has not started from ever starting, and returns its state.
      *
-     * <p>"Not run" is answered only if the attempt is not in the table, can't have been dropped
-     * from it, and is refused from now on; or if it is in the table and had not started.
+     * <p>Returns "not run" only if the attempt is in the table and had not started, or if it is not
+     * in the table, cannot have been evicted from it, and is refused from now on.
      */
     public synchronized FenceAnswer fence(Attempt attempt, long nowMillis) {
         if (attempt.guardIncarnation() != mIncarnation) {
@@ -191,7 +190,7 @@
         return FenceAnswer.NOT_RUN;
     }
 
-    /** Returns how many attempts are remembered, under way and ended. */
+    /** Returns the number of attempts in the table, in flight and ended. */
     public synchronized int size() {
         return mEntries.size();
     }
@@ -211,7 +210,7 @@
     private Entry startedEntry(Attempt attempt) {
         Entry entry = mEntries.get(attempt);
         if (entry == null || entry.mState != State.STARTED) {
-            throw new IllegalStateException("attempt ended that had not started: " + attempt);
+            throw new IllegalStateException("attempt ended without having started: " + attempt);
         }
         return entry;
     }
@@ -228,9 +227,9 @@
         mInFlight--;
         mEndedEntries.add(entry);
         while (mEndedEntries.size() > mLimits.maxEnded()) {
-            Entry dropped = mEndedEntries.remove();
-            mEntries.remove(dropped.mAttempt);
-            mForgottenUpToMillis = Math.max(mForgottenUpToMillis, dropped.latestStartMillis());
+            Entry evicted = mEndedEntries.remove();
+            mEntries.remove(evicted.mAttempt);
+            mForgottenUpToMillis = Math.max(mForgottenUpToMillis, evicted.latestStartMillis());
         }
     }
 
--- a/src/main/java/org/apricotgauge/decision/attempt/FenceAnswer.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/FenceAnswer.java
@@ -3,22 +3,22 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * What a guard answers to a fence.
+ * Answer of a guard to a fence.
  *
- * @param state how far the attempt came
+ * @param state state of the attempt
  * @param status status of the target's answer, or 0 unless the state is {@link State#COMPLETED}
  */
 public record FenceAnswer(State state, int status) {
 
-    /** How far a fenced attempt came. */
+    /** State of a fenced attempt. */
     public enum State {
-        /** It did not run, and from now on it is refused. */
+        /** Did not run, and is refused from now on. */
         NOT_RUN,
-        /** Its first byte may have gone to the target; it is running, or broke off. */
+        /** Its first byte may have reached the target; it is running or was interrupted. */
         STARTED,
-        /** The target answered it. */
+        /** Was answered by the target. */
         COMPLETED,
-        /** The guard can't tell: another run of it, or too long ago. */
+        /** Unknown to the guard: another incarnation received it, or too much time has passed. */
         UNKNOWN_FORGOTTEN
     }
 
@@ -26,13 +26,12 @@
     static final FenceAnswer STARTED = new FenceAnswer(State.STARTED, 0);
     static final FenceAnswer FORGOTTEN = new FenceAnswer(State.UNKNOWN_FORGOTTEN, 0);
 
-    /** Checks the parts. */
     public FenceAnswer {
         Checks.notNull("state", state);
         Checks.inRange("status", status, 0, 999);
     }
 
-    /** Returns the outcome that the entry may tell its caller when no more is to come. */
+    /** Returns the outcome that the entry may report if no answer can follow. */
     public Outcome toOutcome() {
         return switch (state) {
             case NOT_RUN -> new Outcome.NotRun(NotRunReason.FENCED, 0);
--- a/src/main/java/org/apricotgauge/decision/attempt/GuardClockEstimate.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/GuardClockEstimate.java
@@ -3,45 +3,45 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * The last stamp that an entry heard from a guard, and when; addresses attempts to that guard.
+ * Estimates a guard's clock from the last stamp received; addresses attempts to that guard.
  *
  * <pre>{@code
- * GuardSighting sighting = new GuardSighting(stamp, ticker.millis());
- * Attempt attempt = sighting.address(ids.next(), ticker.millis(), deadlineMillis);
+ * GuardClockEstimate clock = new GuardClockEstimate(stamp, ticker.millis());
+ * Attempt attempt = clock.newAttempt(ids.next(), ticker.millis(), deadlineMillis);
  * }</pre>
  *
- * <p>The estimate of the guard's clock lags by at most the way of the stamp, so that an attempt
- * expires at the guard a little early rather than late. Safety does not rest on it: the guard
- * compares only its own clock with the number in the attempt.
+ * <p>The estimate lags by at most the transit time of the stamp, so an attempt expires at the guard
+ * slightly early rather than late. Safety does not depend on it: the guard compares the attempt's
+ * latest start only with its own clock.
  *
- * @param stamp what the guard said
+ * @param stamp last stamp received from the guard
  * @param receivedAtMillis the entry's own clock when the stamp arrived
  */
 public record GuardClockEstimate(GuardStamp stamp, long receivedAtMillis) {
-    // A guard refuses what may start later than it remembers; its clock reads more than estimated.
+    // A guard refuses attempts that may start later than it keeps entries. Its clock is ahead
+    // of the estimate, so it accepts the same bound added to the estimate.
     private static final long MAX_LIFETIME_MILLIS = AttemptLimits.DEFAULT.maxLifetimeMillis();
 
-    /** Checks the stamp. */
     public GuardClockEstimate {
         Checks.notNull("stamp", stamp);
     }
 
     /**
-     * Returns the attempt addressed to the guard's present incarnation.
+     * Returns an attempt addressed to the guard's current incarnation.
      *
      * @param id identifier of the attempt, used on one connection only
      * @param nowMillis the entry's clock
-     * @param deadlineMillis the request's deadline by the entry's clock; a longer time than {@link
-     *     AttemptLimits#maxLifetimeMillis} is cut to that for the start, not for the answer
+     * @param deadlineMillis the request's deadline by the entry's clock; the time left to start is
+     *     capped at {@link AttemptLimits#maxLifetimeMillis}, the time left to answer is not
      */
     public Attempt newAttempt(AttemptId id, long nowMillis, long deadlineMillis) {
         long guardNowMillis = stamp.guardMillis() + (nowMillis - receivedAtMillis);
-        long leftMillis = Math.max(0, deadlineMillis - nowMillis);
-        long latestStartMillis = guardNowMillis + Math.min(leftMillis, MAX_LIFETIME_MILLIS);
+        long remainingMillis = Math.max(0, deadlineMillis - nowMillis);
+        long latestStartMillis = guardNowMillis + Math.min(remainingMillis, MAX_LIFETIME_MILLIS);
         return new Attempt(id, stamp.incarnation(), latestStartMillis);
     }
 
-    /** Returns the later of two sightings; a stamp that arrives out of order changes nothing. */
+    /** Returns the later of two estimates; a stamp that arrives out of order changes nothing. */
     public GuardClockEstimate merge(GuardClockEstimate other) {
         if (stamp.incarnation() == other.stamp.incarnation()) {
             return other.stamp.guardMillis() > stamp.guardMillis() ? other : this;
--- a/src/main/java/org/apricotgauge/decision/attempt/GuardStamp.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/GuardStamp.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * Who a guard is and what its own clock reads; sent with every answer of the guard.
+ * A guard's incarnation and a reading of its clock; sent with every answer of the guard.
  *
  * <pre>{@code
  * response.setHeader(GuardStamp.HEADER, ledger.stamp(ticker.millis()).toString());
  * }</pre>
  *
  * @param incarnation random number that the guard drew when its process started
- * @param guardMillis reading of the guard's monotonic clock; means something to this guard only
+ * @param guardMillis reading of the guard's monotonic clock; comparable only with its own readings
  */
 public record GuardStamp(long incarnation, long guardMillis) {
     /** Header that carries the stamp in each answer of a guard. */
@@ -19,7 +19,7 @@
     private static final char SEPARATOR = ':';
     private static final int DECIMAL = 10;
 
-    /** Returns the stamp that the text gives, or nothing if the text is malformed. */
+    /** Parses the text of the header; returns empty if it is malformed. */
     public static Optional<GuardStamp> parse(String text) {
         int incarnationEnd = text.indexOf(SEPARATOR);
         if (!NumberParser.isHex(text, 0, incarnationEnd)
@@ -32,7 +32,7 @@
                         Long.parseLong(text, incarnationEnd + 1, text.length(), DECIMAL)));
     }
 
-    /** Returns the text for the header: incarnation in hexadecimal, reading in milliseconds. */
+    /** Returns the header's text: incarnation in hexadecimal, clock reading in milliseconds. */
     @Override
     public String toString() {
         return Long.toHexString(incarnation) + SEPARATOR + guardMillis;
--- a/src/main/java/org/apricotgauge/decision/attempt/IdempotencyLedger.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/IdempotencyLedger.java
@@ -7,18 +7,18 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * A guard's memory of the Idempotency-Keys whose home is its target.
+ * Tracks the Idempotency-Keys owned by a guard's target, and stores the answers for replay.
  *
  * <pre>{@code
- * KeyVerdict verdict = ledger.begin(key, fingerprint, homeSinceMillis, now);
- * if (verdict instanceof KeyVerdict.Run) {
- *     // run it, then exactly one of completed(...), uncertain(...), notRun(...)
+ * KeyDecision decision = ledger.begin(key, fingerprint, ownerSinceMillis, now);
+ * if (decision instanceof KeyDecision.Execute) {
+ *     // run it, then exactly one of completed(...), outcomeUnknown(...), notRun(...)
  * }
  * }</pre>
  *
- * <p>Promise: a key runs at most once from its first submission until the retention after its end,
- * while this process lives and both submissions reach it. What restarts and partitions do to that
- * is written in docs/design/at-most-once.md. One short lock; safe to share between threads.
+ * <p>Guarantee: a key runs at most once from its first submission until the retention after its end
+ * has passed, as long as this process lives and all submissions reach it. For restarts and
+ * partitions see docs/design/at-most-once.md. Thread-safe; one lock, held briefly.
  */
 public final class IdempotencyLedger {
 
@@ -49,7 +49,11 @@
     private long mStoredBytes;
     private long mLatestMillis;
 
-    /** Takes the bounds and the time at which the process began to remember. */
+    /**
+     * Creates an empty ledger.
+     *
+     * @param startedAtMillis when the process started to record keys
+     */
     public IdempotencyLedger(KeyLimits limits, long startedAtMillis) {
         mLimits = Checks.notNull("limits", limits);
         mStartedAtMillis = startedAtMillis;
@@ -57,35 +61,37 @@
     }
 
     /**
-     * Decides on a submission; only {@link KeyDecision.Execute} may run.
+     * Decides on a submission; only one with {@link KeyDecision.Execute} may run.
      *
-     * @param fingerprint hash of what makes the request the same: method, target URI, length
-     * @param homeSinceMillis when the configuration made this target the key's home, or any time
+     * @param fingerprint hash of what identifies the request: method, target URI, length
+     * @param ownerSinceMillis when the configuration made this target the key's owner, or any time
      *     before the start of the process if it always was
      */
     public synchronized KeyDecision begin(
-            IdempotencyKey key, long fingerprint, long homeSinceMillis, long nowMillis) {
-        return begin(key, fingerprint, homeSinceMillis, nowMillis, mLimits.newOwnerPolicy());
+            IdempotencyKey key, long fingerprint, long ownerSinceMillis, long nowMillis) {
+        return begin(key, fingerprint, ownerSinceMillis, nowMillis, mLimits.newOwnerPolicy());
     }
 
-    /** Decides on a submission as the other form does, with a policy for this one submission. */
+    /** Decides on a submission with a new-owner policy for this submission only. */
     public synchronized KeyDecision begin(
             IdempotencyKey key,
             long fingerprint,
-            long homeSinceMillis,
+            long ownerSinceMillis,
             long nowMillis,
-            KeyLimits.NewOwnerPolicy newHomePolicy) {
+            KeyLimits.NewOwnerPolicy newOwnerPolicy) {
         advance(nowMillis);
-        Entry known = mEntries.get(key);
-        if (known != null) {
-            return decideExisting(known, fingerprint);
+        Entry existing = mEntries.get(key);
+        if (existing != null) {
+            return decideExisting(existing, fingerprint);
         }
-        // A fresh guard can't tell a first submission from one that its predecessor ran. Running
-        // it would book twice; refusing costs this key's share of traffic for the retention.
-        long knowsFromMillis =
-                Math.max(mStartedAtMillis, homeSinceMillis) + mLimits.retentionMillis();
-        if (newHomePolicy == KeyLimits.NewOwnerPolicy.REFUSE && mLatestMillis < knowsFromMillis) {
-            return new KeyDecision.HistoryUnknown(knowsFromMillis - mLatestMillis);
+        // A new guard can't distinguish a first submission from one that its predecessor ran.
+        // Running it could execute a booking twice; refusing it only makes the requests with this
+        // key fail until the retention has passed.
+        long historyKnownFromMillis =
+                Math.max(mStartedAtMillis, ownerSinceMillis) + mLimits.retentionMillis();
+        if (newOwnerPolicy == KeyLimits.NewOwnerPolicy.REFUSE
+                && mLatestMillis < historyKnownFromMillis) {
+            return new KeyDecision.HistoryUnknown(historyKnownFromMillis - mLatestMillis);
         }
         if (mEntries.size() >= mLimits.maxKeys()) {
             return new KeyDecision.LedgerFull(millisToOldestExpiry());
@@ -94,7 +100,9 @@
         return new KeyDecision.Execute();
     }
 
-    /** Records the answer of the target; the key replays it until the retention has passed. */
+    /**
+     * Records the target's answer, which is replayed for the key until the retention has passed.
+     */
     public synchronized void completed(IdempotencyKey key, StoredAnswer answer, long nowMillis) {
         Entry entry = runningEntry(key);
         end(entry, State.COMPLETED, nowMillis);
@@ -108,18 +116,18 @@
         }
     }
 
-    /** Records that it started and no whole answer came; the key never runs again. */
+    /** Records that the request started without a complete answer; the key does not run again. */
     public synchronized void outcomeUnknown(IdempotencyKey key, long nowMillis) {
         end(runningEntry(key), State.OUTCOME_UNKNOWN, nowMillis);
     }
 
-    /** Records the proof that it did not run; the next submission of the key may. */
+    /** Records the proof that the request did not run; the key's next submission may run. */
     public synchronized void notRun(IdempotencyKey key) {
         runningEntry(key);
         mEntries.remove(key);
     }
 
-    /** Returns how many keys are remembered. */
+    /** Returns the number of keys in the ledger. */
     public synchronized int size() {
         return mEntries.size();
     }
@@ -138,7 +146,7 @@
     private Entry runningEntry(IdempotencyKey key) {
         Entry entry = mEntries.get(key);
         if (entry == null || entry.mState != State.RUNNING) {
-            throw new IllegalStateException("key ended that was not running: " + key);
+            throw new IllegalStateException("key ended without running: " + key);
         }
         return entry;
     }
@@ -155,7 +163,7 @@
         while (!mEndedEntries.isEmpty() && expiryMillis(mEndedEntries.peek()) < mLatestMillis) {
             Entry expired = mEndedEntries.remove();
             mEntries.remove(expired.mKey);
-            // Both queues are in the order of ending, so an expired body is always the first.
+            // Both queues are ordered by end time, so the body of an expired entry is always first.
             if (mEntriesWithBody.peek() == expired) {
                 dropBody(mEntriesWithBody.remove());
             }
--- a/src/main/java/org/apricotgauge/decision/attempt/IdempotentHeader.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/IdempotentHeader.java
@@ -1,18 +1,18 @@
 package org.apricotgauge.decision.attempt;
 
-/** What the caller says of one request, in the header {@value #HEADER}. */
+/** The caller's statement in the header {@value #HEADER} whether a request is idempotent. */
 public enum IdempotentHeader {
     /** The header is absent or malformed. */
     ABSENT,
-    /** The caller says that the request may run more than once. */
+    /** The request may run more than once. */
     YES,
-    /** The caller says that the request must not run more than once. */
+    /** The request must not run more than once. */
     NO;
 
-    /** Request header; "?1" or "yes" allows repetition, "?0" or "no" forbids it. */
+    /** Request header; "?1" or "yes" allows more than one run, "?0" or "no" forbids it. */
     public static final String HEADER = "Apricotgauge-Repeatable";
 
-    /** Returns what the header's value says; null stands for no header. */
+    /** Parses the header's value; null means that the header is absent. */
     public static IdempotentHeader parse(String value) {
         if (value == null) {
             return ABSENT;
--- a/src/main/java/org/apricotgauge/decision/attempt/KeyOwner.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/KeyOwner.java
@@ -5,21 +5,22 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Chooses the one target whose guard holds an Idempotency-Key (rendezvous hashing).
+ * Selects the target that owns an Idempotency-Key (rendezvous hashing).
  *
  * <pre>{@code
- * String targetId = KeyHome.of(key, configuredTargetIds);
+ * String targetId = KeyOwner.of(key, configuredTargetIds);
  * }</pre>
  *
- * <p>Pass all targets that the configuration lists for the service, the ejected and silent ones
- * too. Were the choice to follow health, two entries with different views would send the same key
- * to two guards, and both would run it. A key whose home can't serve is refused, not moved.
+ * <p>Callers pass all targets that the configuration lists for the service, including ejected and
+ * unresponsive ones. If the choice depended on health, two entries with different views could send
+ * the same key to two guards, and both would run the request. A key whose owner can't serve is
+ * refused, not moved.
  */
 public final class KeyOwner {
     private KeyOwner() {}
 
     /**
-     * Returns the identifier with the highest hash; the order of the list does not matter.
+     * Returns the target identifier with the highest hash, independent of the order of the list.
      *
      * @throws IllegalArgumentException if the list is empty
      */
--- a/src/main/java/org/apricotgauge/decision/attempt/NotRunReason.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/NotRunReason.java
@@ -1,53 +1,55 @@
 package org.apricotgauge.decision.attempt;
 
-/** The evidence that a request did not reach its target. */
+/** Evidence that a request did not run at its target. */
 public enum NotRunReason {
-    /** No byte of it was written to any connection. */
+    /** No byte of the request was written to any connection. */
     NEVER_SENT,
-    /** The guard's queue was full, and others had a better claim to its places. */
+    /** The guard's queue was full, and the requests in it took precedence. */
     QUEUE_FULL,
-    /** No slot was free at the target, and others may have one. */
+    /** The target had no free slot, and another target may have one. */
     BUSY,
-    /** It could not have been served before its deadline. */
+    /** The request could not have been served before its deadline. */
     DEADLINE_TOO_SHORT,
-    /** Its deadline passed while it waited for a slot. */
+    /** The deadline passed while the request waited for a slot. */
     DEADLINE_PASSED,
-    /** The caller cancelled it while it waited for a slot. */
+    /** The caller cancelled the request while it waited for a slot. */
     CANCELLED,
-    /** The guard fenced it before the first byte went to the target. */
+    /** The guard fenced the attempt before its first byte was sent to the target. */
     FENCED,
-    /** It was addressed to an earlier incarnation of the guard, and the present one refused it. */
+    /**
+     * The attempt was addressed to an earlier incarnation of the guard; the current one refused.
+     */
     GUARD_RESTARTED,
     /** The guard could not connect to the target. */
     TARGET_UNREACHABLE,
-    /** The target refused it for load and said that it did not run it. */
+    /** The target shed the request and reported that it did not run it. */
     TARGET_SHED,
-    /** The target may be in a sick spell, and the request must not take the risk. */
+    /** The target is suspect, and the request must not take the risk. */
     TARGET_SUSPECT,
-    /** It was sent before, and the service has no more retries left for now. */
+    /** The attempt was a retry, and the service's retry budget is exhausted. */
     RETRIES_SPENT,
-    /** Another target has the address by now, and did not run it. */
+    /** The address now belongs to another target, which did not run the request. */
     TARGET_REPLACED,
-    /** It crashed targets that ran it, and is kept from all others for a while. */
+    /** The request crashed targets that ran it, and is quarantined. */
     QUARANTINED,
-    /** It may be one that crashes targets, and its body was not known in time to tell. */
+    /** The request may be a quarantined one, and its body was not read in time to decide. */
     BODY_UNREAD,
-    /** The older routing system, whose share it falls into, took no connection. */
+    /** The older routing system, to which the request is assigned, accepted no connection. */
     PREDECESSOR_UNREACHABLE,
-    /** The guard is stopping, and takes no new work. */
+    /** The guard is stopping and accepts no new work. */
     LEAVING,
-    /** The target is leaving or gone, and gets no new work. */
+    /** The target is leaving or removed, and receives no new work. */
     TARGET_LEAVING,
-    /** The node has not heard for too long, or not since a pause, that what it knows holds. */
+    /** The node's state was not confirmed for too long, or not since the process was paused. */
     STATE_UNCONFIRMED,
-    /** The guard of its Idempotency-Key restarted too lately to know whether the key was used. */
+    /** The guard that owns the Idempotency-Key restarted too recently to know earlier uses. */
     KEY_HISTORY_UNKNOWN,
-    /** The node that would remember its Idempotency-Key is not to be seen from here. */
+    /** The node that owns the Idempotency-Key is unreachable from the entry. */
     KEY_HOME_UNREACHABLE,
-    /** Its member has asked for more than its limit. */
+    /** The member exceeded its rate limit. */
     OVER_LIMIT,
-    /** Its member has a limit, and no node that counts its requests could be asked. */
+    /** The member has a rate limit, and no node that counts its requests could be reached. */
     LIMIT_UNKNOWN,
-    /** The guard has no room to remember one more attempt or key. */
+    /** The guard has no space to record another attempt or key. */
     LEDGER_FULL
 }
--- a/src/main/java/org/apricotgauge/decision/attempt/NumberParser.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/NumberParser.java
@@ -1,8 +1,8 @@
 package org.apricotgauge.decision.attempt;
 
-/** Reads the bounded numbers that headers between nodes are made of; each hop reads several. */
+/** Parses the bounded numbers in headers between nodes; each hop parses several. */
 final class NumberParser {
-    /** Every number of so many decimal digits fits into 63 bits. */
+    /** Every number of up to 18 decimal digits fits into 63 bits. */
     private static final int MAX_DECIMAL_DIGITS = 18;
 
     private static final int MAX_HEX_DIGITS = 16;
@@ -10,7 +10,7 @@
 
     private NumberParser() {}
 
-    /** Returns whether a part of a text is 1 to 16 lower-case hexadecimal digits. */
+    /** Returns whether a range of a text is 1 to 16 lower-case hexadecimal digits. */
     static boolean isHex(String text, int from, int to) {
         if (to <= from || to - from > MAX_HEX_DIGITS) {
             return false;
@@ -24,7 +24,9 @@
         return true;
     }
 
-    /** Returns whether a part of a text is 1 to 18 decimal digits, with or without a minus sign. */
+    /**
+     * Returns whether a range of a text is 1 to 18 decimal digits, optionally with a minus sign.
+     */
     static boolean isDecimal(String text, int from, int to, boolean mayBeNegative) {
         int first = mayBeNegative && from < to && text.charAt(from) == '-' ? from + 1 : from;
         if (to <= first || to - first > MAX_DECIMAL_DIGITS) {
@@ -42,7 +44,7 @@
         return c >= '0' && c <= '9';
     }
 
-    /** Returns the number of a part for which {@link #isHex} holds. */
+    /** Parses a range of a text for which {@link #isHex} returns true. */
     static long parseHex(String text, int from, int to) {
         return Long.parseUnsignedLong(text, from, to, HEX);
     }
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryAllowancePolicy.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryAllowancePolicy.java
@@ -3,76 +3,76 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Which retries of a service a node may let through beside its share of the requests.
+ * Determines how many retries a node may allow in addition to its share of the requests.
  *
  * <pre>{@code
- * RetryPool pool = RetryPool.ofFleet(62, 10);
+ * RetryAllowancePolicy policy = RetryAllowancePolicy.ofFleet(62, 10);
  * }</pre>
  *
- * <p>Nodes share no counter. What the operator allows the whole fleet holds in sum only if every
- * node keeps to its equal part. The guards count, where a platform bounds the sum: a service has
- * six or nine of them, the fleet 24 entries, and a part of two retries in ten seconds stood unused
- * at one entry while another was out of it (of what was allowed less than a fifth was used).
+ * <p>Nodes share no counter, so the fleet keeps its total only if every node stays within an equal
+ * part. Where a platform limits the total, the guards count instead of the entries: a service has
+ * six or nine guards, but the fleet has 24 entries. With a part of two retries in ten seconds per
+ * entry, some entries used none while others ran out, and less than a fifth of the total was used.
  */
 @FunctionalInterface
 public interface RetryAllowancePolicy {
-    /** Bounds for a site that bounds no sum: ten at once and one a second for each node. */
-    RetryAllowancePolicy PER_NODE = sharers -> new Allowance(10, 1, InitialFill.FULL);
+    /** For a site without a fleet-wide limit: bursts of ten and one per second for each node. */
+    RetryAllowancePolicy PER_NODE = nodeCount -> new Allowance(10, 1, InitialFill.FULL);
 
-    /** Bounds nothing; for the end of the path where somebody else counts. */
-    RetryAllowancePolicy UNBOUNDED = sharers -> new Allowance(100_000, 1_000, InitialFill.FULL);
+    /** No limit, for the entry or the guard if the other one enforces the limit. */
+    RetryAllowancePolicy UNBOUNDED = nodeCount -> new Allowance(100_000, 1_000, InitialFill.FULL);
 
     /**
-     * Returns what a node may let through at present beside its share of the requests.
+     * Returns the current allowance of a node in addition to its share of the requests.
      *
-     * @param sharers how many nodes share the fleet's part
+     * @param nodeCount number of nodes that share the fleet's allowance
      */
-    Allowance allowance(int sharers);
+    Allowance allowance(int nodeCount);
 
     /**
-     * What a node may retry beside its share of the requests.
+     * Retries that a node may allow in addition to its share of the requests.
      *
-     * @param burst retries that may be saved up, at least 1
-     * @param perSecond retries allowed each second whatever the traffic
-     * @param initialFill from when on they are saved up
+     * @param burst capacity of the token bucket in retries, at least 1
+     * @param perSecond retries allowed per second independent of the traffic
+     * @param initialFill tokens in the bucket at the start of the process
      */
     record Allowance(double burst, double perSecond, InitialFill initialFill) {
         /**
-         * Makes a budget.
+         * Creates a budget.
          *
-         * @param share retries for each request, from 0 to 1
-         * @param startedMillis when the process started
+         * @param share retries per request, from 0 to 1
+         * @param startedAtMillis when the process started
          */
-        RetryBudget newBudget(double share, long startedMillis) {
+        RetryBudget newBudget(double share, long startedAtMillis) {
             return initialFill == InitialFill.FULL
                     ? new RetryBudget(share, burst, perSecond)
-                    : RetryBudget.startingEmpty(startedMillis, share, burst, perSecond);
+                    : RetryBudget.startingEmpty(startedAtMillis, share, burst, perSecond);
         }
     }
 
-    /** From when on retries are saved up. */
+    /** Tokens in the bucket of a new process. */
     enum InitialFill {
-        /** A fresh process has its savings. */
+        /** A new process starts with a full bucket. */
         FULL,
-        /** A fresh process has none. */
+        /** A new process starts with an empty bucket. */
         EMPTY
     }
 
     /**
-     * Returns a node's equal part of the retries that the whole fleet may make in each window.
+     * Returns a policy that divides the fleet's retries per window equally among its nodes.
      *
-     * <p>In a window fall the savings and what comes in meanwhile; each gets half. A process starts
-     * with nothing saved: a fleet that is killed and restarted at once would otherwise spend its
-     * savings twice within one window.
+     * <p>A node can use its full bucket and the refill within one window, so each gets half of the
+     * node's part. A process starts with an empty bucket: otherwise, a fleet that is killed and
+     * restarted could use its buckets twice within one window.
      *
-     * @param perWindow retries that all nodes together may make in a window
+     * @param perWindow retries allowed to all nodes together in a window
      * @param windowSeconds length of the window
      */
     static RetryAllowancePolicy ofFleet(double perWindow, double windowSeconds) {
         Checks.inRange("perWindow", perWindow, 0.0, 1_000_000.0);
         Checks.inRange("windowSeconds", windowSeconds, 1.0, 3_600.0);
-        return sharers -> {
-            double part = perWindow / Math.max(1, sharers);
+        return nodeCount -> {
+            double part = perWindow / Math.max(1, nodeCount);
             return new Allowance(
                     Math.max(1, part / 2), part / 2 / windowSeconds, InitialFill.EMPTY);
         };
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryBudget.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryBudget.java
@@ -4,17 +4,17 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Bounds retries of one service to a share of its traffic (token bucket).
+ * Limits the retries of one service to a share of its traffic (token bucket).
  *
  * <pre>{@code
  * RetryBudget budget = new RetryBudget(0.1, 10, 1);
- * budget.onRequest(); // each first attempt
- * if (budget.tryRetry(now)) { ... } // each further attempt
+ * budget.onRequest(); // for each first attempt
+ * if (budget.tryRetry(now)) { ... } // for each further attempt
  * }</pre>
  *
- * <p>A fixed count of retries alone multiplies the load of a service that fails as a whole, and
- * keeps it down. With a share of 0.1 the load is at most 1.1 times the traffic, plus a trickle that
- * lets a service with little traffic retry at all. Atomics only; safe to share.
+ * <p>A fixed number of retries per request multiplies the load on a service that fails as a whole
+ * and prevents its recovery. With a share of 0.1 the load is at most 1.1 times the traffic, plus a
+ * constant refill that allows retries to a service with little traffic. Thread-safe and lock-free.
  */
 public final class RetryBudget {
     private static final long UNITS_PER_TOKEN = 1_000_000;
@@ -27,11 +27,11 @@
     private final AtomicLong mRefilledAtMillis = new AtomicLong(Long.MIN_VALUE);
 
     /**
-     * Takes the bounds.
+     * Creates a full budget.
      *
      * @param share retries per request, from 0 to 1
-     * @param burst retries that may come at once after a quiet time
-     * @param minPerSecond retries allowed each second whatever the traffic
+     * @param burst capacity: most retries in a burst after an idle time
+     * @param minPerSecond retries allowed per second independent of the traffic
      */
     public RetryBudget(double share, double burst, double minPerSecond) {
         mTokensPerRequest = Math.round(Checks.inRange("share", share, 0, 1) * UNITS_PER_TOKEN);
@@ -44,15 +44,15 @@
         mTokens = new AtomicLong(mCapacity);
     }
 
-    /** Returns the budget of a service that the configuration does not name: there is none. */
+    /** Returns an empty budget, for a service that is not configured. */
     public static RetryBudget none() {
         return startingEmpty(0, 0, 1, 0);
     }
 
     /**
-     * Takes the bounds of a budget that starts with what came in since a moment.
+     * Returns a budget that was empty at a given time and has been refilled since.
      *
-     * @param sinceMillis since when retries have been saved up; the process's start
+     * @param sinceMillis when the budget was empty: the start of the process
      */
     public static RetryBudget startingEmpty(
             long sinceMillis, double share, double burst, double minPerSecond) {
@@ -67,7 +67,7 @@
         deposit(mTokensPerRequest);
     }
 
-    /** Takes the budget of one retry if it is there. */
+    /** Takes a token for one retry if one is available. */
     public boolean tryRetry(long nowMillis) {
         refill(nowMillis);
         long before =
@@ -76,16 +76,17 @@
         return before >= UNITS_PER_TOKEN;
     }
 
-    /** Takes the budget of one retry if at least half of all that can be saved up is there. */
+    /** Takes a token for one retry if the budget is at least half full. */
     public boolean tryRetryIfHalfFull(long nowMillis) {
         refill(nowMillis);
-        long least = Math.max(UNITS_PER_TOKEN, mCapacity / 2);
+        long minTokens = Math.max(UNITS_PER_TOKEN, mCapacity / 2);
         long before =
-                mTokens.getAndUpdate(tokens -> tokens >= least ? tokens - UNITS_PER_TOKEN : tokens);
-        return before >= least;
+                mTokens.getAndUpdate(
+                        tokens -> tokens >= minTokens ? tokens - UNITS_PER_TOKEN : tokens);
+        return before >= minTokens;
     }
 
-    /** Takes the budget of a retry that happens in any case; the next ones pay for it. */
+    /** Takes a token for a retry that happens in any case; a negative budget delays later ones. */
     public void charge() {
         mTokens.updateAndGet(tokens -> Math.max(-mCapacity, tokens - UNITS_PER_TOKEN));
     }
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryBudgetRegistry.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryBudgetRegistry.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ConcurrentMap;
 import org.apricotgauge.model.Service;
 
-/** The retry budget of each service; a service whose bounds change starts a new one. */
+/** Retry budgets by service; a budget is replaced when its bounds change. */
 public final class RetryBudgetRegistry {
     private static final double ALL_PERCENT = 100.0;
 
@@ -15,27 +15,27 @@
     private record Entry(
             int percent, RetryAllowancePolicy.Allowance allowance, RetryBudget budget) {}
 
-    /** Creates budgets that save up since the process started. */
-    public RetryBudgetRegistry(RetryAllowancePolicy pool, long startedMillis) {
-        mStartedAtMillis = startedMillis;
-        mAllowancePolicy = pool;
+    /** Creates an empty registry; new budgets are refilled from the start of the process. */
+    public RetryBudgetRegistry(RetryAllowancePolicy allowancePolicy, long startedAtMillis) {
+        mStartedAtMillis = startedAtMillis;
+        mAllowancePolicy = allowancePolicy;
     }
 
     /**
      * Returns the budget of a service.
      *
-     * @param sharers how many nodes share what the fleet may retry
+     * @param nodeCount number of nodes that share the fleet's allowance
      */
-    public RetryBudget of(Service service, int sharers) {
+    public RetryBudget of(Service service, int nodeCount) {
         int percent = service.retryBudgetPercent();
-        RetryAllowancePolicy.Allowance extra = mAllowancePolicy.allowance(sharers);
+        RetryAllowancePolicy.Allowance allowance = mAllowancePolicy.allowance(nodeCount);
         Entry entry = mBudgets.get(service.id());
-        if (entry == null || entry.percent() != percent || !entry.allowance().equals(extra)) {
+        if (entry == null || entry.percent() != percent || !entry.allowance().equals(allowance)) {
             entry =
                     new Entry(
                             percent,
-                            extra,
-                            extra.newBudget(percent / ALL_PERCENT, mStartedAtMillis));
+                            allowance,
+                            allowance.newBudget(percent / ALL_PERCENT, mStartedAtMillis));
             mBudgets.put(service.id(), entry);
         }
         return entry.budget();
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryDecision.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryDecision.java
@@ -1,20 +1,20 @@
 package org.apricotgauge.decision.attempt;
 
-/** What an entry does once an attempt has ended. */
+/** Next step of an entry after an attempt has ended. */
 public sealed interface RetryDecision {
 
-    /** Sends a new attempt; any target will do unless the request has a key. */
+    /** Sends a new attempt to any target, or to the key's owner if the request has a key. */
     record Retry() implements RetryDecision {}
 
     /**
-     * Sends a new attempt with the same key to the same run of the same guard, whose memory of the
-     * key keeps it from running twice; address it with {@link Attempt#withId} of the first attempt
-     * that may have run.
+     * Sends a new attempt with the same key to the same incarnation of the same guard, whose record
+     * of the key prevents a second run. The attempt must be created with {@link Attempt#withId}
+     * from the first attempt that may have run.
      */
     record RetryAtSameGuard() implements RetryDecision {}
 
     /**
-     * Tells the caller at once.
+     * Reports the outcome to the caller at once.
      *
      * @param outcome the submission's final outcome
      */
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryPolicy.java
@@ -7,40 +7,39 @@
 import org.apricotgauge.model.Repeatability;
 
 /**
- * Decides whether a request may run more than once, and whether it is sent again.
+ * Decides whether a request is idempotent and whether a further attempt is made.
  *
  * <pre>{@code
- * boolean repeatable = RepeatPolicy.isRepeatable("POST", Repeatability.BY_METHOD, header);
- * RetryDecision next = policy.decide(progress, leftMillis, budget::tryRetry);
+ * boolean idempotent = RetryPolicy.isIdempotent("POST", Repeatability.BY_METHOD, header);
+ * RetryDecision next = policy.decide(progress, remainingMillis, () -> budget.tryRetry(now));
  * }</pre>
  *
- * <p>Idempotent methods are those of RFC 9110, section 9.2.2; methods are case-sensitive and an
- * unknown one is not idempotent.
+ * <p>Idempotent methods are those of RFC 9110, section 9.2.2. Methods are case-sensitive, and an
+ * unknown method is not idempotent.
  *
- * @param maxAttempts attempts of one submission, the first included
- * @param minRemainingMillis with less time left to the deadline nothing is sent again
+ * @param maxAttempts most attempts of one submission, including the first
+ * @param minRemainingMillis least time to the deadline that a retry needs
  */
 public record RetryPolicy(int maxAttempts, long minRemainingMillis) {
-    /** Up to three attempts, the last with 20 ms to go at the least. */
+    /** Allows up to three attempts; a retry needs at least 20 ms to the deadline. */
     public static final RetryPolicy DEFAULT = new RetryPolicy(3, 20);
 
     private static final Set<String> IDEMPOTENT_METHODS =
             Set.of("GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE");
 
-    /** A half-broken target answers 500 for seconds where its neighbours would serve. */
+    /** Includes 500: a degraded target may answer it for seconds while other targets serve. */
     private static final Set<Integer> RETRYABLE_STATUSES = Set.of(500, 502, 503, 504);
 
-    /** Checks the parts. */
     public RetryPolicy {
         Checks.inRange("maxAttempts", maxAttempts, 1, 10);
-        Checks.inRange("minLeftMillis", minRemainingMillis, 0, 60_000);
+        Checks.inRange("minRemainingMillis", minRemainingMillis, 0, 60_000);
     }
 
     /**
-     * Tells whether the request may run more than once.
+     * Returns whether the request may run more than once.
      *
-     * <p>A "no" in the route or in the header always wins: a caller may narrow what the operator
-     * allows, and may widen it only where the operator left it to the method.
+     * <p>A "no" in the route or in the header always takes precedence: a caller may restrict what
+     * the operator allows, and may extend it only where the operator leaves it to the method.
      */
     public static boolean isIdempotent(
             String method, Repeatability route, IdempotentHeader header) {
@@ -52,42 +51,45 @@
                 || IDEMPOTENT_METHODS.contains(method);
     }
 
-    /** Decides what follows an attempt of a request whose runs nothing else bounds. */
+    /** Decides what follows an attempt, without a separate limit on runs. */
     public RetryDecision decide(
-            SubmissionProgress progress, long leftMillis, BooleanSupplier budget) {
-        return decide(progress, leftMillis, maxAttempts, budget);
+            SubmissionProgress progress, long remainingMillis, BooleanSupplier budget) {
+        return decide(progress, remainingMillis, maxAttempts, budget);
     }
 
     /**
      * Decides what follows an attempt that has ended.
      *
-     * @param leftMillis time left to the caller's deadline; not positive once it has passed
-     * @param maxRuns most targets that may run the request, as its route says
-     * @param budget asked at most once, and only when everything else allows another attempt
+     * @param remainingMillis time left to the caller's deadline; not positive once it has passed
+     * @param maxRuns most targets that may run the request, as configured for its route
+     * @param budget called at most once, and only when everything else allows another attempt
      */
     public RetryDecision decide(
-            SubmissionProgress progress, long leftMillis, int maxRuns, BooleanSupplier budget) {
-        Checks.notNull("progress.last", progress.lastOutcome());
-        RetryDecision wish = decideByOutcome(progress);
-        if (wish instanceof RetryDecision.Finish) {
-            return wish;
+            SubmissionProgress progress,
+            long remainingMillis,
+            int maxRuns,
+            BooleanSupplier budget) {
+        Checks.notNull("progress.lastOutcome", progress.lastOutcome());
+        RetryDecision decision = decideByOutcome(progress);
+        if (decision instanceof RetryDecision.Finish) {
+            return decision;
         }
-        boolean mayGoOn =
+        boolean mayRetry =
                 progress.attempts() < maxAttempts
                         && progress.possibleRuns() < maxRuns
-                        && leftMillis >= minRemainingMillis
+                        && remainingMillis >= minRemainingMillis
                         && budget.getAsBoolean();
-        return mayGoOn ? wish : finish(progress);
+        return mayRetry ? decision : finish(progress);
     }
 
     /**
-     * Returns how much of a risk the next attempt may run.
+     * Returns the risk that the next attempt may take.
      *
-     * <p>What may repeat can find out for all whether a suspect target is well again, as long as a
-     * further run is left to it; its last run goes where a booking would go. An attempt beyond
-     * which there is none takes whatever target there is: a refusal would help nobody.
+     * <p>An idempotent request may probe a suspect target as long as it has another run left; its
+     * last run takes no more risk than a non-idempotent request. The last attempt accepts any
+     * target, since a refusal would fail the request in any case.
      *
-     * @param maxRuns most targets that may run the request, as its route says
+     * @param maxRuns most targets that may run the request, as configured for its route
      */
     public HealthGate.RiskTolerance riskTolerance(SubmissionProgress progress, int maxRuns) {
         if (progress.attempts() + 1 >= maxAttempts) {
@@ -100,8 +102,9 @@
     private static RetryDecision decideByOutcome(SubmissionProgress progress) {
         Outcome last = progress.lastOutcome();
         if (last instanceof Outcome.Answered answered) {
-            boolean again = progress.idempotent() && RETRYABLE_STATUSES.contains(answered.status());
-            return again ? new RetryDecision.Retry() : finish(progress);
+            boolean retryable =
+                    progress.idempotent() && RETRYABLE_STATUSES.contains(answered.status());
+            return retryable ? new RetryDecision.Retry() : finish(progress);
         }
         if (isQuarantined(last)) {
             return finish(progress);
@@ -109,8 +112,8 @@
         if (progress.idempotent()) {
             return new RetryDecision.Retry();
         }
-        // A request that must not repeat goes out again only if no attempt so far can have run, or
-        // if the guard that may have run it will recognise it by its key.
+        // A non-idempotent request is retried only if no attempt can have run, or if the guard that
+        // may have run it detects the duplicate by its key.
         if (!progress.mayHaveRun()) {
             return new RetryDecision.Retry();
         }
@@ -126,7 +129,7 @@
     }
 
     private static RetryDecision finish(SubmissionProgress progress) {
-        // "Not run" of the last attempt says nothing of an earlier one: a repeatable request that
+        // "Not run" of the last attempt does not apply to earlier ones: an idempotent request that
         // ran and got a 503 would be reported as not run once its retry is refused.
         if (progress.lastOutcome() instanceof Outcome.NotRun && progress.mayHaveRun()) {
             return new RetryDecision.Finish(new Outcome.Unknown(UnknownReason.EARLIER_ATTEMPT));
--- a/src/main/java/org/apricotgauge/decision/attempt/StoredAnswer.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/StoredAnswer.java
@@ -4,16 +4,16 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * What a guard keeps of a target's answer, to give it again to a repeated submission.
+ * Answer of a target, stored by a guard for replay to a duplicate submission.
  *
  * @param status status of the answer
- * @param contentType media type of the body, or the empty text
- * @param bodyBytes length of the whole body
- * @param body read-only body, or null if it was not kept (too long, or dropped for lack of room)
+ * @param contentType media type of the body, or an empty string
+ * @param bodyBytes length of the complete body
+ * @param body read-only body, or null if it was not kept (too long, or dropped for lack of space)
  */
 public record StoredAnswer(int status, String contentType, long bodyBytes, ByteBuffer body) {
 
-    /** Checks the parts and makes the body read-only. */
+    /** Stores a read-only view of the body. */
     public StoredAnswer {
         Checks.inRange("status", status, 100, 999);
         Checks.notNull("contentType", contentType);
@@ -21,12 +21,12 @@
         body = body == null ? null : body.asReadOnlyBuffer();
     }
 
-    /** Returns an answer of which only status and length are known. */
+    /** Returns an answer without a body, of which only status and length are known. */
     public static StoredAnswer withoutBody(int status, long bodyBytes) {
         return new StoredAnswer(status, "", bodyBytes, null);
     }
 
-    /** Tells whether the whole body is here. */
+    /** Returns whether the complete body is stored. */
     public boolean isComplete() {
         return body != null && body.remaining() == bodyBytes;
     }
--- a/src/main/java/org/apricotgauge/decision/attempt/UnknownReason.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/UnknownReason.java
@@ -1,21 +1,21 @@
 package org.apricotgauge.decision.attempt;
 
-/** Why nothing better than "unknown" can be told. */
+/** Reason why the outcome of a request is unknown. */
 public enum UnknownReason {
-    /** The target may have begun, and the guard could not be reached to fence the attempt. */
+    /** The target may have started, and the guard could not be reached to fence the attempt. */
     GUARD_UNREACHABLE,
-    /** The target had begun, and its answer was lost or broken. */
+    /** The target had started, and its answer was lost or incomplete. */
     STARTED,
-    /** The target had ended, and its answer was lost on the way back. */
+    /** The target had answered, and the answer was lost in transit. */
     ANSWER_LOST,
-    /** The guard restarted or no longer remembers the attempt. */
+    /** The guard restarted or no longer has a record of the attempt. */
     FORGOTTEN,
-    /** It was written to a target that has no guard, and no answer came. */
+    /** The request was written to a target that has no guard, and no answer arrived. */
     NO_GUARD,
-    /** The same Idempotency-Key is running now. */
+    /** A request with the same Idempotency-Key is still running. */
     KEY_RUNNING,
-    /** Its target crashed, as others did under the same request; it is kept from all others. */
+    /** The target crashed, as others did under the same request, which is now quarantined. */
     QUARANTINED,
-    /** The last attempt did not run, but an earlier one may have, or did without success. */
+    /** The last attempt did not run, but an earlier one may have run, or ran without success. */
     EARLIER_ATTEMPT
 }
--- a/src/main/java/org/apricotgauge/decision/attempt/package-info.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/package-info.java
@@ -1,7 +1,7 @@
 /**
- * State machines of one attempt: what may be sent again, what ran, and what a caller may be told.
+ * State machines for attempts: which may be retried, which have run, and which outcome is reported.
  *
- * <p>Nothing here does I/O, reads a clock or starts a thread. The safety argument stands in
+ * <p>Nothing in this package does I/O, reads a clock or starts a thread. The safety argument is in
  * docs/design/at-most-once.md.
  */
 package org.apricotgauge.decision.attempt;
--- a/src/main/java/org/apricotgauge/decision/health/DegradationEstimate.java
+++ b/src/main/java/org/apricotgauge/decision/health/DegradationEstimate.java
@@ -4,31 +4,30 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * How likely a target is to be sick, now and for some time without further news; immutable.
+ * Estimated probability that a target is degraded, now and later without further observations.
  *
  * <pre>{@code
- * HealthOutlook outlook = gate.outlook(nowMillis);
- * double sick = outlook.sickAt(nowMillis + 500);
+ * DegradationEstimate estimate = gate.estimate(nowMillis);
+ * double probability = estimate.probabilityAt(nowMillis + 500);
  * }</pre>
  *
  * @param probability probability at {@code atMillis}, from 0 to 1
- * @param baseline probability that it returns to, from 0 to 1
+ * @param baseline long-run probability to which the estimate decays, from 0 to 1
  * @param decayMillis time in which the difference falls to 1/e, in milliseconds
- * @param atMillis when it was worked out, in milliseconds of its owner's clock
+ * @param atMillis time of the estimate by its owner's clock, in milliseconds
  */
 public record DegradationEstimate(
         double probability, double baseline, double decayMillis, long atMillis) {
 
     private static final double PERMILLE = 1_000.0;
 
-    /** Checks the parts. */
     public DegradationEstimate {
-        Checks.inRange("outlook.sick", probability, 0.0, 1.0);
-        Checks.inRange("outlook.usual", baseline, 0.0, 1.0);
-        Checks.inRange("outlook.forgetMillis", decayMillis, 1.0, 1e9);
+        Checks.inRange("estimate.probability", probability, 0.0, 1.0);
+        Checks.inRange("estimate.baseline", baseline, 0.0, 1.0);
+        Checks.inRange("estimate.decayMillis", decayMillis, 1.0, 1e9);
     }
 
-    /** Returns the part that is told to others, who add when they heard of it. */
+    /** Returns the report for other nodes, whose receivers add the time of receipt. */
     public Report toReport(long nowMillis) {
         return new Report(
                 (int) Math.round(PERMILLE * probabilityAt(nowMillis)),
@@ -37,24 +36,23 @@
     }
 
     /**
-     * An outlook on its way to another node.
+     * Form of an estimate that is sent to other nodes; it has no time of its own.
      *
-     * @param probabilityPermille probability that the target is sick, in permille
-     * @param baselinePermille probability that it returns to, in permille
+     * @param probabilityPermille probability that the target is degraded, in permille
+     * @param baselinePermille long-run probability to which the estimate decays, in permille
      * @param decayMillis time in which the difference falls to 1/e, in milliseconds
      */
     public record Report(int probabilityPermille, int baselinePermille, long decayMillis) {
         private static final String SEPARATOR = ",";
         private static final int FIELDS = 3;
 
-        /** Checks the parts. */
         public Report {
-            Checks.inRange("health.sick", probabilityPermille, 0, 1_000);
-            Checks.inRange("health.usual", baselinePermille, 0, 1_000);
-            Checks.inRange("health.forget", decayMillis, 1, 1_000_000_000);
+            Checks.inRange("health.probability", probabilityPermille, 0, 1_000);
+            Checks.inRange("health.baseline", baselinePermille, 0, 1_000);
+            Checks.inRange("health.decayMillis", decayMillis, 1, 1_000_000_000);
         }
 
-        /** Returns the outlook as of the moment at which it was heard of. */
+        /** Returns the estimate as of the time at which the report was received. */
         public DegradationEstimate receivedAt(long nowMillis) {
             return new DegradationEstimate(
                     probabilityPermille / PERMILLE,
@@ -63,12 +61,12 @@
                     nowMillis);
         }
 
-        /** Returns the text of a header. */
+        /** Returns the text for a header. */
         public String toText() {
             return probabilityPermille + SEPARATOR + baselinePermille + SEPARATOR + decayMillis;
         }
 
-        /** Reads the text of a header; nothing if there is none or it is malformed. */
+        /** Parses the text of a header; returns empty if it is null or malformed. */
         public static Optional<Report> parse(String text) {
             String[] fields = text == null ? new String[0] : text.split(SEPARATOR);
             if (fields.length != FIELDS) {
@@ -86,20 +84,23 @@
         }
     }
 
-    /** Returns what is known of a target of which nobody has heard anything. */
+    /** Returns the estimate for a target without any observations. */
     public static DegradationEstimate unknown() {
         return new DegradationFilter().estimate(0);
     }
 
-    /** Returns the outlook right after the path to the target, or the target, has failed. */
-    public DegradationEstimate withMinimum(double distrust, long nowMillis) {
+    /** Returns an estimate of at least a probability, after the target or the path to it failed. */
+    public DegradationEstimate withMinimum(double minProbability, long nowMillis) {
         return new DegradationEstimate(
-                Math.max(distrust, probabilityAt(nowMillis)), baseline, decayMillis, nowMillis);
+                Math.max(minProbability, probabilityAt(nowMillis)),
+                baseline,
+                decayMillis,
+                nowMillis);
     }
 
-    /** Returns the probability at a later moment without news in between. */
+    /** Returns the probability at a later time without further observations. */
     public double probabilityAt(long nowMillis) {
-        double passedMillis = Math.max(0, nowMillis - atMillis);
-        return baseline + (probability - baseline) * Math.exp(-passedMillis / decayMillis);
+        double elapsedMillis = Math.max(0, nowMillis - atMillis);
+        return baseline + (probability - baseline) * Math.exp(-elapsedMillis / decayMillis);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/health/DegradationFilter.java
+++ b/src/main/java/org/apricotgauge/decision/health/DegradationFilter.java
@@ -3,15 +3,18 @@
 import java.util.Arrays;
 
 /**
- * The probability that one target is sick, under laws that are learned from the same target.
+ * Bayesian filter that estimates the probability that one target is degraded.
  *
- * <p>For each {@link EpisodeModel} the probability follows Bayes' rule; the laws are weighed by how
- * well they foretold what was seen. A little of the weight is dealt out evenly at each step, so
- * that a target whose spells change, or a real outage after hours of calm, is believed within some
- * ten requests. Not thread-safe.
+ * <p>For each {@link EpisodeModel} the probability is updated by Bayes' rule; the models are
+ * weighted by how well they predicted the observations at this target. A small share of the weight
+ * is spread evenly at each observation, so that changed episodes, or an outage after hours without
+ * failures, are detected within some ten requests. Not thread-safe.
  */
 final class DegradationFilter {
-    /** Part of the weight dealt out evenly at each step; a law needs 1/this requests to be lost. */
+    /**
+     * Share of the weight spread evenly over the models at each observation; a model needs the
+     * reciprocal number of requests to lose its weight.
+     */
     private static final double UNIFORM_SHARE = 0.002;
 
     private final double[] mWeights = new double[EpisodeModel.MODELS.size()];
@@ -26,24 +29,24 @@
         }
     }
 
-    /** Tells how likely something is at a target that fails this share of its requests. */
+    /** Likelihood of an observation as a function of the target's failure rate. */
     @FunctionalInterface
     interface Likelihood {
-        /** Returns a number in proportion to the probability of what was seen. */
-        double of(double failShare);
+        /** Returns a value proportional to the probability of the observation. */
+        double of(double failureRate);
     }
 
-    /** Takes in something that was seen of the target. */
+    /** Updates the estimate with an observation of the target. */
     void observe(Likelihood likelihood, long nowMillis) {
         advanceTo(nowMillis);
         double ifHealthy = likelihood.of(EpisodeModel.HEALTHY_FAILURE_RATE);
         double sum = 0;
         for (int i = 0; i < mDegraded.length; i++) {
-            double sick =
+            double degraded =
                     mDegraded[i] * likelihood.of(EpisodeModel.MODELS.get(i).degradedFailureRate());
-            double all = sick + (1 - mDegraded[i]) * ifHealthy;
-            mDegraded[i] = sick / all;
-            mWeights[i] *= all;
+            double total = degraded + (1 - mDegraded[i]) * ifHealthy;
+            mDegraded[i] = degraded / total;
+            mWeights[i] *= total;
             sum += mWeights[i];
         }
         for (int i = 0; i < mWeights.length; i++) {
@@ -52,37 +55,37 @@
     }
 
     private void advanceTo(long nowMillis) {
-        double passedMillis = mHasObservation ? Math.max(0, nowMillis - mUpdatedAtMillis) : 0;
+        double elapsedMillis = mHasObservation ? Math.max(0, nowMillis - mUpdatedAtMillis) : 0;
         for (int i = 0; i < mDegraded.length; i++) {
-            mDegraded[i] = EpisodeModel.MODELS.get(i).probabilityAfter(mDegraded[i], passedMillis);
+            mDegraded[i] = EpisodeModel.MODELS.get(i).probabilityAfter(mDegraded[i], elapsedMillis);
         }
         mUpdatedAtMillis = mHasObservation ? Math.max(mUpdatedAtMillis, nowMillis) : nowMillis;
         mHasObservation = true;
     }
 
-    /** Returns the probability that the target is sick at a moment. */
+    /** Returns the probability that the target is degraded at the given time. */
     double probabilityAt(long nowMillis) {
-        double passedMillis = mHasObservation ? Math.max(0, nowMillis - mUpdatedAtMillis) : 0;
-        double sick = 0;
+        double elapsedMillis = mHasObservation ? Math.max(0, nowMillis - mUpdatedAtMillis) : 0;
+        double degraded = 0;
         for (int i = 0; i < mDegraded.length; i++) {
-            sick +=
+            degraded +=
                     mWeights[i]
                             * EpisodeModel.MODELS
                                     .get(i)
-                                    .probabilityAfter(mDegraded[i], passedMillis);
+                                    .probabilityAfter(mDegraded[i], elapsedMillis);
         }
-        return Math.max(0, Math.min(1, sick));
+        return Math.max(0, Math.min(1, degraded));
     }
 
-    /** Returns what others may be told: the mean over the laws, each by its weight. */
+    /** Returns the estimate to report to other nodes: the weighted mean over the models. */
     DegradationEstimate estimate(long nowMillis) {
-        double usual = 0;
-        double rate = 0;
+        double baseline = 0;
+        double decayRate = 0;
         for (int i = 0; i < mDegraded.length; i++) {
-            usual += mWeights[i] * EpisodeModel.MODELS.get(i).degradedShare();
-            rate += mWeights[i] / EpisodeModel.MODELS.get(i).decayMillis();
+            baseline += mWeights[i] * EpisodeModel.MODELS.get(i).degradedShare();
+            decayRate += mWeights[i] / EpisodeModel.MODELS.get(i).decayMillis();
         }
         return new DegradationEstimate(
-                probabilityAt(nowMillis), Math.min(1, usual), 1 / rate, nowMillis);
+                probabilityAt(nowMillis), Math.min(1, baseline), 1 / decayRate, nowMillis);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/health/EpisodeModel.java
+++ b/src/main/java/org/apricotgauge/decision/health/EpisodeModel.java
@@ -5,19 +5,19 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * One way in which targets may fall sick and recover: a hidden Markov model of two states.
+ * Model of gray-failure episodes: a hidden Markov model with a healthy and a degraded state.
  *
- * <p>Nobody knows beforehand how long the spells of a site are, how much of the time targets spend
- * in them, or how much they fail meanwhile. {@link #MODELS} spreads evenly over what is plausible,
- * by factors, so that one of them is near whatever holds; which one, {@link DegradationFilter}
- * learns.
+ * <p>How long the episodes of a site last, for which share of the time its targets are degraded,
+ * and how many requests they fail meanwhile is not known beforehand. {@link #MODELS} covers the
+ * plausible range in geometric steps, so that one model is close to the actual one; {@link
+ * DegradationFilter} learns which one.
  *
- * @param episodeMillis mean length of a spell, in milliseconds
- * @param degradedShare share of time that a target is sick, from 0 to 1
- * @param degradedFailureRate share of its requests that a sick target fails, from 0 to 1
+ * @param episodeMillis mean length of an episode, in milliseconds
+ * @param degradedShare share of time that a target is degraded, from 0 to 1
+ * @param degradedFailureRate share of requests that a degraded target fails, from 0 to 1
  */
 record EpisodeModel(double episodeMillis, double degradedShare, double degradedFailureRate) {
-    /** Share of requests that a healthy target fails; one that fails more is worth avoiding. */
+    /** Share of requests that a healthy target fails; targets that fail more are avoided. */
     static final double HEALTHY_FAILURE_RATE = 0.018;
 
     private static final double MIN_EPISODE_MILLIS = 700;
@@ -28,40 +28,42 @@
     private static final double SHARE_FACTOR = 4;
     private static final double[] DEGRADED_FAILURE_RATES = {0.35, 0.92};
 
-    /** The laws that are weighed against each other: all pairs of the lengths, shares and rates. */
+    /** All models of the filter: every combination of episode length, share and failure rate. */
     static final List<EpisodeModel> MODELS = createModels();
 
-    /** Checks the parts. */
     EpisodeModel {
-        Checks.inRange("law.spellMillis", episodeMillis, 1, 3_600_000);
-        Checks.inRange("law.sickShare", degradedShare, 0.0, 1.0);
-        Checks.inRange("law.failsSick", degradedFailureRate, 0.0, 1.0);
+        Checks.inRange("model.episodeMillis", episodeMillis, 1, 3_600_000);
+        Checks.inRange("model.degradedShare", degradedShare, 0.0, 1.0);
+        Checks.inRange("model.degradedFailureRate", degradedFailureRate, 0.0, 1.0);
     }
 
     private static List<EpisodeModel> createModels() {
-        List<EpisodeModel> laws = new ArrayList<>();
-        for (double spell = MIN_EPISODE_MILLIS;
-                spell <= MAX_EPISODE_MILLIS;
-                spell *= EPISODE_FACTOR) {
+        List<EpisodeModel> models = new ArrayList<>();
+        for (double episodeMillis = MIN_EPISODE_MILLIS;
+                episodeMillis <= MAX_EPISODE_MILLIS;
+                episodeMillis *= EPISODE_FACTOR) {
             for (double share = MAX_DEGRADED_SHARE;
                     share >= MIN_DEGRADED_SHARE;
                     share /= SHARE_FACTOR) {
-                for (double fails : DEGRADED_FAILURE_RATES) {
-                    laws.add(new EpisodeModel(spell, share, fails));
+                for (double failureRate : DEGRADED_FAILURE_RATES) {
+                    models.add(new EpisodeModel(episodeMillis, share, failureRate));
                 }
             }
         }
-        return List.copyOf(laws);
+        return List.copyOf(models);
     }
 
-    /** Returns the time in which what was known of a target is forgotten, in milliseconds. */
+    /**
+     * Returns the time constant with which a probability decays to the baseline, in milliseconds.
+     */
     double decayMillis() {
-        // The sum of the rates at which the two states are left, inverted.
+        // The inverse of the sum of the two states' transition rates.
         return episodeMillis * (1 - degradedShare);
     }
 
-    /** Returns the probability that a target is sick, some time after it was known. */
-    double probabilityAfter(double sick, double passedMillis) {
-        return degradedShare + (sick - degradedShare) * Math.exp(-passedMillis / decayMillis());
+    /** Returns the probability of being degraded after a time without observations. */
+    double probabilityAfter(double probability, double elapsedMillis) {
+        return degradedShare
+                + (probability - degradedShare) * Math.exp(-elapsedMillis / decayMillis());
     }
 }
--- a/src/main/java/org/apricotgauge/decision/health/FailureTimeHistogram.java
+++ b/src/main/java/org/apricotgauge/decision/health/FailureTimeHistogram.java
@@ -1,54 +1,52 @@
 package org.apricotgauge.decision.health;
 
 /**
- * How long requests run at one target before it fails them.
+ * Histogram of the time after which one target fails requests.
  *
- * <p>Where failures come within a few milliseconds and answers take a second, a request that still
- * runs after some milliseconds says as much of the target's health as its answer will, a second
- * earlier. Where failures take as long as answers, it says nothing. Kept as counts in steps of a
- * factor of two; the old ones fade. Not thread-safe.
+ * <p>Where failures arrive within a few milliseconds and answers take a second, a request that
+ * still runs after some milliseconds is as strong evidence of the target's health as its answer,
+ * and is available a second earlier. Where failures take as long as answers, it is no evidence.
+ * Bucket bounds are powers of two, and old counts decay. Not thread-safe.
  */
 final class FailureTimeHistogram {
     private static final int BUCKETS = 15;
 
-    /** Weight of what is assumed before any failure, in failures. */
+    /** Weight of the prior distribution, in failures. */
     private static final double PRIOR_WEIGHT = 1;
 
-    /**
-     * Part of that which is spread evenly over the steps; the rest comes later than all of them.
-     */
+    /** Share of the prior spread evenly over the buckets; the rest lies beyond all of them. */
     private static final double PRIOR_BUCKETS_SHARE = 0.5;
 
-    /** With so many failures all counts are halved, so that a target that changes is followed. */
+    /** All counts are halved at this total, so that the histogram follows changes of the target. */
     private static final double MAX_TOTAL = 32;
 
     /**
-     * Least time after which a request that still runs is taken for evidence, in milliseconds:
-     * below it, the scheduling of a process that shares a core decides what is seen first.
+     * Least time after which a request that still runs counts as evidence, in milliseconds. Below
+     * it, the order of events depends on the scheduling of processes that share a core.
      */
     private static final long MIN_CHECK_MILLIS = 16;
 
-    /** A request is looked at once at least this part of the failures would have come. */
+    /** A request is checked once at least this share of failures would have arrived. */
     private static final double CHECK_SHARE = 0.5;
 
-    /** Share of silent failures from which on silence is evidence. */
+    /** Least share of timeouts among the failures at which a missing answer is evidence. */
     private static final double MIN_TIMEOUT_SHARE = 0.25;
 
-    /** Silent failures that are assumed before any, and as many others. */
+    /** Prior number of timeouts, and of other failures. */
     private static final double TIMEOUT_PRIOR = 1;
 
     private final double[] mCounts = new double[BUCKETS];
     private double mTotal;
     private double mTimeouts;
 
-    /** Counts a failure after a time. */
+    /** Records a failure and the time after which it arrived. */
     void addFailure(long millis) {
         decay();
         mCounts[bucketOf(millis)]++;
         mTotal++;
     }
 
-    /** Counts a failure that said nothing until nobody waited any more. */
+    /** Records a failure without any answer for as long as somebody waited for it. */
     void addTimeout() {
         decay();
         mTotal++;
@@ -56,8 +54,8 @@
     }
 
     /**
-     * Returns whether many failures say nothing until nobody waits any more, so that silence is
-     * evidence; where they come as errors, a silent target is busy.
+     * Returns whether many failures are timeouts, so that a missing answer is evidence of a
+     * failure. Where failures arrive as errors, an unresponsive target is busy.
      */
     boolean areTimeoutsCommon() {
         return mTimeouts + TIMEOUT_PRIOR >= MIN_TIMEOUT_SHARE * (mTotal + 2 * TIMEOUT_PRIOR);
@@ -74,18 +72,18 @@
         mTimeouts /= 2;
     }
 
-    /** Returns the part of the failures that come within a time, from 0 to 1. */
+    /** Returns the estimated share of failures that arrive within a time, from 0 to 1. */
     double shareWithin(long millis) {
-        int step = bucketOf(millis);
-        double counted = 0;
-        for (int i = 0; i <= step; i++) {
-            counted += mCounts[i];
+        int bucket = bucketOf(millis);
+        double recorded = 0;
+        for (int i = 0; i <= bucket; i++) {
+            recorded += mCounts[i];
         }
-        double assumed = PRIOR_WEIGHT * PRIOR_BUCKETS_SHARE * (step + 1) / BUCKETS;
-        return (counted + assumed) / (mTotal + PRIOR_WEIGHT);
+        double prior = PRIOR_WEIGHT * PRIOR_BUCKETS_SHARE * (bucket + 1) / BUCKETS;
+        return (recorded + prior) / (mTotal + PRIOR_WEIGHT);
     }
 
-    /** Returns after how long a request that still runs is evidence, in milliseconds. */
+    /** Returns the time after which a request that still runs is evidence, in milliseconds. */
     long checkMillis() {
         long millis = MIN_CHECK_MILLIS;
         while (shareWithin(millis) < CHECK_SHARE && bucketOf(millis) < BUCKETS - 1) {
@@ -94,9 +92,9 @@
         return millis;
     }
 
-    /** Returns the step whose bound, 2 to the power of the step, a time does not pass. */
+    /** Returns the first bucket whose upper bound, 2 to the power of its index, is not exceeded. */
     private static int bucketOf(long millis) {
-        int step = Long.SIZE - Long.numberOfLeadingZeros(Math.max(1, millis) - 1);
-        return Math.min(BUCKETS - 1, step);
+        int bucket = Long.SIZE - Long.numberOfLeadingZeros(Math.max(1, millis) - 1);
+        return Math.min(BUCKETS - 1, bucket);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/health/HealthGate.java
+++ b/src/main/java/org/apricotgauge/decision/health/HealthGate.java
@@ -3,41 +3,42 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Decides which requests a target gets while it may be in a sick spell.
+ * Decides which requests may start at a target while it may be degraded.
  *
  * <pre>{@code
- * if (!gate.mayPass(Caution.STEADY, nowMillis)) {
- *     return notRun(NotRunReason.TARGET_SUSPECT);   // the entry goes to another target
+ * if (!gate.mayStart(RiskTolerance.STEADY, nowMillis)) {
+ *     return notRun(NotRunReason.TARGET_SUSPECT);   // the entry tries another target
  * }
  * HealthGate.Run run = gate.started("route-7", nowMillis);
- * gate.stillRuns(run, nowMillis);                    // after run.checkMillis(), again and again
+ * gate.stillRunning(run, nowMillis);                 // repeatedly, after run.checkMillis()
  * gate.ended(run, failed, nowMillis);
  * }</pre>
  *
- * <p>The guard sees all of its target's requests, each entry a sliver of them. A refusal here costs
- * an entry one way there and back; a run at a sick target costs the caller its request. Requests
- * that may repeat find out when the spell is over, one at a time. Thread-safe.
+ * <p>The guard observes all requests of its target, each entry only a small share of them. A
+ * refusal here costs the entry one round trip, while a run at a degraded target may fail the
+ * caller's request. Idempotent requests probe a suspect target, one at a time, to detect its
+ * recovery. Thread-safe.
  */
 public final class HealthGate {
-    /** From this probability on a target is only tried. */
+    /** Probability of being degraded from which on a target is suspect and only probed. */
     public static final double SUSPECT_PROBABILITY = 0.5;
 
-    /** From this probability on a target gets nothing that must not repeat. */
+    /** Probability from which on a target receives no non-idempotent requests. */
     public static final double NON_IDEMPOTENT_LIMIT = 0.4;
 
     /**
-     * A suspect target is tried once its probability of being sick has fallen to this. Tried right
-     * after a failure it fails again, and each try costs one of the retries that the fleet shares.
+     * Probability to which a suspect target's estimate must have decayed before it is probed. A
+     * probe right after a failure fails again, and costs one of the retries that the fleet shares.
      */
     static final double MAX_PROBE_PROBABILITY = 0.75;
 
     /**
-     * From this probability on a request that may repeat, and is beyond its patience, is better off
-     * at another target.
+     * Probability from which on an idempotent request that has exceeded its run timeout is better
+     * retried at another target.
      */
     static final double MIN_FAILOVER_PROBABILITY = 0.25;
 
-    /** Pause between two tries of a suspect target, in milliseconds: the first has to end. */
+    /** Interval between probes of a suspect target, in milliseconds, so that the first can end. */
     static final long PROBE_INTERVAL_MILLIS = 300;
 
     private final DegradationFilter mFilter = new DegradationFilter();
@@ -46,27 +47,27 @@
     private long mLastProbeMillis = Long.MIN_VALUE / 2;
     private long mLastFailedStartMillis = Long.MIN_VALUE / 2;
 
-    /** How much of a risk a request may run. */
+    /** Risk that a request may take of failing at its target; sent between nodes by name. */
     public enum RiskTolerance {
-        /** It must not repeat: it goes to a target that is not suspect, or elsewhere. */
+        /** None: the request is not idempotent and must not start at a suspect target. */
         STEADY,
-        /** It may repeat, and so may try a suspect target. */
+        /** The request is idempotent and may probe a suspect target. */
         MAY_TRY,
-        /** There is nowhere else to go. */
+        /** No other target is left, so that any risk is accepted. */
         NONE
     }
 
-    /** What it means that a request gets no answer for far longer than its kind. */
+    /** Cause of a request running for far longer than others of its kind. */
     public enum TimeoutDiagnosis {
         /** The target is busy. */
         SLOW,
-        /** The target may hang; the request is better off elsewhere, if it may repeat. */
+        /** The target may hang; an idempotent request is better retried elsewhere. */
         UNCERTAIN,
         /** The target hangs. */
         HUNG
     }
 
-    /** A request at the target; belongs to the gate that made it. */
+    /** Execution of a request at the target; may only be passed to the gate that created it. */
     public static final class Run {
         private final String mWorkKind;
         private final long mStartMillis;
@@ -74,74 +75,79 @@
         private double mAnsweredShare;
         private double mFailedShare;
 
-        private Run(String work, long startMillis) {
-            mWorkKind = work;
+        private Run(String workKind, long startMillis) {
+            mWorkKind = workKind;
             mStartMillis = startMillis;
         }
 
         /**
-         * Returns after how long since its start the gate is next to be told that it still runs, in
-         * milliseconds; {@link Long#MAX_VALUE} if never.
+         * Returns the time since the start at which {@link HealthGate#stillRunning} is to be called
+         * next, in milliseconds; {@link Long#MAX_VALUE} if never.
          */
         public long checkMillis() {
             return mCheckMillis;
         }
 
-        /** Returns how likely it is to run for so long at a target that fails a share. */
-        private double stillRunningProbability(double fails) {
-            return 1 - (1 - fails) * mAnsweredShare - fails * mFailedShare;
+        /**
+         * Returns the probability of running for so long at a target with the given failure rate.
+         */
+        private double stillRunningProbability(double failureRate) {
+            return 1 - (1 - failureRate) * mAnsweredShare - failureRate * mFailedShare;
         }
     }
 
     /** Returns whether a request may start at the target now. */
-    public synchronized boolean mayStart(RiskTolerance caution, long nowMillis) {
-        Checks.notNull("caution", caution);
-        double sick = mFilter.probabilityAt(nowMillis);
-        if (caution == RiskTolerance.STEADY) {
-            return sick < NON_IDEMPOTENT_LIMIT;
+    public synchronized boolean mayStart(RiskTolerance riskTolerance, long nowMillis) {
+        Checks.notNull("riskTolerance", riskTolerance);
+        double probability = mFilter.probabilityAt(nowMillis);
+        if (riskTolerance == RiskTolerance.STEADY) {
+            return probability < NON_IDEMPOTENT_LIMIT;
         }
-        if (caution == RiskTolerance.NONE || sick < SUSPECT_PROBABILITY) {
+        if (riskTolerance == RiskTolerance.NONE || probability < SUSPECT_PROBABILITY) {
             return true;
         }
-        if (sick > MAX_PROBE_PROBABILITY || nowMillis - mLastProbeMillis < PROBE_INTERVAL_MILLIS) {
+        if (probability > MAX_PROBE_PROBABILITY
+                || nowMillis - mLastProbeMillis < PROBE_INTERVAL_MILLIS) {
             return false;
         }
         mLastProbeMillis = nowMillis;
         return true;
     }
 
-    /** Takes in that a request goes to the target, of which no other work is told apart. */
+    /** Records that a request of an unspecified kind of work starts at the target. */
     public Run started(long nowMillis) {
         return started("", nowMillis);
     }
 
     /**
-     * Takes in that a request goes to the target.
+     * Records that a request starts at the target.
      *
-     * @param work name of the kind of work it is
+     * @param workKind name of the kind of work
      */
-    public synchronized Run started(String work, long nowMillis) {
-        Run run = new Run(work, nowMillis);
+    public synchronized Run started(String workKind, long nowMillis) {
+        Run run = new Run(workKind, nowMillis);
         run.mCheckMillis = nextCheckMillis(run, 0);
         return run;
     }
 
     private long nextCheckMillis(Run run, long millis) {
-        long failureMillis = mFailureTimes.checkMillis();
-        long markMillis =
+        long failureCheckMillis = mFailureTimes.checkMillis();
+        long answerCheckMillis =
                 mFailureTimes.areTimeoutsCommon()
                         ? mRunTimes.nextCheckMillis(run.mWorkKind, millis)
                         : Long.MAX_VALUE;
-        return failureMillis > millis ? Math.min(failureMillis, markMillis) : markMillis;
+        return failureCheckMillis > millis
+                ? Math.min(failureCheckMillis, answerCheckMillis)
+                : answerCheckMillis;
     }
 
     /**
-     * Takes in that a request still runs.
+     * Records that a request still runs.
      *
-     * <p>A target that fails most of its requests at once does so before long, so that this is what
-     * its answer would say, without the wait for it. One that hangs says nothing; a run that goes
-     * on while most of its kind would have been answered speaks for that, before its patience is
-     * over.
+     * <p>Where a degraded target fails requests fast, a request that still runs is as strong
+     * evidence of health as its answer, and is available earlier. Where a degraded target hangs, a
+     * request that still runs when most of its kind would have been answered is evidence of that,
+     * and is available before the run timeout.
      */
     public synchronized void stillRunning(Run run, long nowMillis) {
         long millis = nowMillis - run.mStartMillis;
@@ -160,15 +166,17 @@
         }
         run.mFailedShare = Math.max(run.mFailedShare, mFailureTimes.shareWithin(millis));
         mFilter.observe(
-                fails -> run.stillRunningProbability(fails) / before.stillRunningProbability(fails),
+                failureRate ->
+                        run.stillRunningProbability(failureRate)
+                                / before.stillRunningProbability(failureRate),
                 nowMillis);
     }
 
     /**
-     * Takes in that a request is beyond its patience; returns what that says of the target.
+     * Records that a request has exceeded its run timeout, and returns the likely cause.
      *
-     * <p>Where targets fail at once, one that says nothing for long is busy; where they hang, it is
-     * sick. Which of the two holds is learned from how the target's failures came.
+     * <p>Where failures are fast, an unresponsive target is busy; where they are timeouts, it is
+     * degraded. Which of the two holds is learned from the target's earlier failures.
      */
     public synchronized TimeoutDiagnosis diagnoseTimeout(Run run, long nowMillis) {
         stillRunning(run, nowMillis);
@@ -178,14 +186,16 @@
         if (!mRunTimes.hasEnoughSamples(run.mWorkKind)) {
             return TimeoutDiagnosis.UNCERTAIN;
         }
-        double sick = mFilter.probabilityAt(nowMillis);
-        if (sick < MIN_FAILOVER_PROBABILITY) {
+        double probability = mFilter.probabilityAt(nowMillis);
+        if (probability < MIN_FAILOVER_PROBABILITY) {
             return TimeoutDiagnosis.SLOW;
         }
-        return sick < SUSPECT_PROBABILITY ? TimeoutDiagnosis.UNCERTAIN : TimeoutDiagnosis.HUNG;
+        return probability < SUSPECT_PROBABILITY
+                ? TimeoutDiagnosis.UNCERTAIN
+                : TimeoutDiagnosis.HUNG;
     }
 
-    /** Takes in that a request got no answer for as long as somebody waited for it. */
+    /** Records that a request got no answer for as long as somebody waited for it. */
     public synchronized void endedWithoutAnswer(Run run, long nowMillis) {
         mFailureTimes.addTimeout();
         failed(run, nowMillis);
@@ -193,10 +203,11 @@
 
     private void failed(Run run, long nowMillis) {
         mLastFailedStartMillis = Math.max(mLastFailedStartMillis, run.mStartMillis);
-        mFilter.observe(fails -> fails / run.stillRunningProbability(fails), nowMillis);
+        mFilter.observe(
+                failureRate -> failureRate / run.stillRunningProbability(failureRate), nowMillis);
     }
 
-    /** Takes in how a request ended at the target. */
+    /** Records how a request ended at the target. */
     public synchronized void ended(Run run, boolean failed, long nowMillis) {
         long millis = nowMillis - run.mStartMillis;
         if (failed) {
@@ -206,27 +217,29 @@
         }
         mRunTimes.answered(run.mWorkKind, millis);
         if (!isOutdated(run)) {
-            mFilter.observe(fails -> (1 - fails) / run.stillRunningProbability(fails), nowMillis);
+            mFilter.observe(
+                    failureRate -> (1 - failureRate) / run.stillRunningProbability(failureRate),
+                    nowMillis);
         }
     }
 
     /**
-     * Returns after how long a run that starts now is taken for hung, in milliseconds.
+     * Returns the timeout of a run that starts now, in milliseconds.
      *
-     * @param usefulMillis time within which its answer is of full use
+     * @param usefulMillis time within which the answer has its full value to the caller
      */
-    public long runTimeoutMillis(String work, long usefulMillis) {
-        return mRunTimes.runTimeoutMillis(work, usefulMillis);
+    public long runTimeoutMillis(String workKind, long usefulMillis) {
+        return mRunTimes.runTimeoutMillis(workKind, usefulMillis);
     }
 
-    // An answer tells of the moment at which the target took the request. Those of requests that it
-    // took before it fell sick come for a second after the first failure, and two of them would
-    // clear it.
+    // An answer is evidence of the target's health when the request started. Answers to requests
+    // from before an episode keep arriving for a second after the first failure, and two of them
+    // would clear the suspicion.
     private boolean isOutdated(Run run) {
         return run.mStartMillis < mLastFailedStartMillis;
     }
 
-    /** Returns how likely the target is to be sick, now and later. */
+    /** Returns the probability that the target is degraded, now and later. */
     public synchronized DegradationEstimate estimate(long nowMillis) {
         return mFilter.estimate(nowMillis);
     }
--- a/src/main/java/org/apricotgauge/decision/health/HealthReportPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/health/HealthReportPolicy.java
@@ -6,34 +6,37 @@
 import java.util.Map;
 
 /**
- * Decides which entries a guard tells about its target, and when.
+ * Decides which entries a guard notifies of its target's health, and when.
  *
  * <pre>{@code
- * policy.seen("10.1.0.9", true, nowMillis);                    // an entry sent a request
- * List<String> hosts = policy.toTell(gate.outlook(nowMillis), load, nowMillis);
+ * policy.recordUse("10.1.0.9", true, nowMillis);               // an entry sent a request
+ * List<String> hosts = policy.hostsToNotify(gate.estimate(nowMillis), load, nowMillis);
  * }</pre>
  *
- * <p>An entry sees a target once in some seconds, and would learn of a spell by losing a request to
- * it. So the guard tells the entries that used it lately: those of its own failure domain when what
- * they were told last has become wrong, at most every {@link #MIN_INTERVAL_MILLIS}, since bytes
- * there cost nothing and a fresh success is what makes a target safe for requests that must not
- * repeat; the others only when the target becomes suspect or ceases to be. Entries told are
- * bounded, whatever the size of the site. Not thread-safe.
+ * <p>An entry uses a target only once in some seconds, and would detect a degraded target only by
+ * losing a request to it. The guard therefore notifies the entries that used the target recently.
+ * Entries in its own failure domain are notified when their last report has become inaccurate, at
+ * most every {@link #MIN_INTERVAL_MILLIS}: traffic within the domain is free, and a recent success
+ * is what makes a target safe for non-idempotent requests. Other entries are notified only when the
+ * target becomes suspect or ceases to be. The number of notified entries is bounded, independent of
+ * the size of the site. Not thread-safe.
  */
 public final class HealthReportPolicy {
-    /** Least pause between two tellings without a change of standing, in milliseconds. */
+    /**
+     * Least interval between reports unless the target becomes suspect or healthy, in milliseconds.
+     */
     static final long MIN_INTERVAL_MILLIS = 200;
 
-    /** What entries work out of the last news may differ by so much from what is believed. */
+    /** Tolerated difference between the entries' extrapolated probability and the current one. */
     static final double PROBABILITY_TOLERANCE = 0.05;
 
-    /** The load that entries know may differ by so much from the present one, in slots' share. */
+    /** Tolerated difference between the reported and the current load, as a share of the slots. */
     static final double LOAD_TOLERANCE = 0.5;
 
-    /** An entry that sent nothing for so long is no longer told, in milliseconds. */
+    /** Time after which an entry that sent no request is no longer notified, in milliseconds. */
     static final long ENTRY_EXPIRY_MILLIS = 15_000;
 
-    /** Most entries that are told; an entry works with 20 targets of a service at the most. */
+    /** Most entries that are notified; an entry uses at most 20 targets of a service. */
     static final int MAX_ENTRIES = 64;
 
     private final Map<String, EntryUse> mEntries = new HashMap<>();
@@ -45,49 +48,50 @@
     private record EntryUse(boolean sameFailureDomain, long atMillis) {}
 
     /**
-     * Notes that an entry used the target.
+     * Records that an entry used the target.
      *
      * @param host the entry's host
-     * @param near whether it stands in the guard's failure domain
+     * @param sameFailureDomain whether the entry is in the guard's failure domain
      */
-    public void recordUse(String host, boolean near, long nowMillis) {
+    public void recordUse(String host, boolean sameFailureDomain, long nowMillis) {
         if (mEntries.size() < MAX_ENTRIES || mEntries.containsKey(host)) {
-            mEntries.put(host, new EntryUse(near, nowMillis));
+            mEntries.put(host, new EntryUse(sameFailureDomain, nowMillis));
         }
     }
 
     /**
-     * Returns the hosts of the entries to tell how the target is now.
+     * Returns the hosts of the entries to notify of the target's current health.
      *
-     * @param outlook how likely it is to be sick
-     * @param load requests running and waiting, as a share of its slots
+     * @param estimate probability that the target is degraded
+     * @param load requests running and waiting, as a share of the target's slots
      */
-    public List<String> hostsToNotify(DegradationEstimate outlook, double load, long nowMillis) {
-        boolean suspect = outlook.probabilityAt(nowMillis) >= HealthGate.NON_IDEMPOTENT_LIMIT;
+    public List<String> hostsToNotify(DegradationEstimate estimate, double load, long nowMillis) {
+        boolean suspect = estimate.probabilityAt(nowMillis) >= HealthGate.NON_IDEMPOTENT_LIMIT;
         boolean changed = suspect != mSuspect;
         mSuspect = suspect;
         if (!changed
                 && (nowMillis - mLastReportMillis < MIN_INTERVAL_MILLIS
-                        || isUpToDate(outlook, load, nowMillis))) {
+                        || isUpToDate(estimate, load, nowMillis))) {
             return List.of();
         }
         mLastReportMillis = nowMillis;
-        mLastReported = outlook;
+        mLastReported = estimate;
         mLastReportedLoad = load;
-        mEntries.values().removeIf(seen -> nowMillis - seen.atMillis() > ENTRY_EXPIRY_MILLIS);
+        mEntries.values().removeIf(use -> nowMillis - use.atMillis() > ENTRY_EXPIRY_MILLIS);
         List<String> hosts = new ArrayList<>();
         mEntries.forEach(
-                (host, seen) -> {
-                    if (changed || seen.sameFailureDomain()) {
+                (host, use) -> {
+                    if (changed || use.sameFailureDomain()) {
                         hosts.add(host);
                     }
                 });
         return hosts;
     }
 
-    private boolean isUpToDate(DegradationEstimate outlook, double load, long nowMillis) {
+    private boolean isUpToDate(DegradationEstimate estimate, double load, long nowMillis) {
         double error =
-                Math.abs(mLastReported.probabilityAt(nowMillis) - outlook.probabilityAt(nowMillis));
+                Math.abs(
+                        mLastReported.probabilityAt(nowMillis) - estimate.probabilityAt(nowMillis));
         return error < PROBABILITY_TOLERANCE && Math.abs(mLastReportedLoad - load) < LOAD_TOLERANCE;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/health/RunTimeEstimator.java
+++ b/src/main/java/org/apricotgauge/decision/health/RunTimeEstimator.java
@@ -4,53 +4,56 @@
 import java.util.Map;
 
 /**
- * How long requests run at one target that answers them, by kind of work.
+ * Estimates the run times of answered requests at one target, by kind of work.
  *
  * <pre>{@code
- * times.answered("route-7", 268);
- * long patienceMillis = times.patienceMillis("route-7", usefulMillis);
+ * estimator.answered("route-7", 268);
+ * long timeoutMillis = estimator.runTimeoutMillis("route-7", usefulMillis);
  * }</pre>
  *
- * <p>A target that hangs says nothing at all. Until the first of its requests runs out of time it
- * would go on getting work, and those that may repeat would wait for it while others could serve
- * them. What runs for far longer than its kind usually does is taken for hung. Thread-safe.
+ * <p>A target that hangs returns neither answers nor errors. Until its first request reached the
+ * deadline, it would receive further work, and idempotent requests would wait for it while other
+ * targets could serve them. A run that takes far longer than usual for its kind is therefore
+ * considered hung. Thread-safe.
  */
 public final class RunTimeEstimator {
-    /** A run is overdue beyond the mean by so many mean deviations; one in thirty is by chance. */
+    /** A run times out this many mean deviations above the mean; one in thirty does by chance. */
     static final double TIMEOUT_DEVIATIONS = 3;
 
-    /** With fewer answers the useful time is relied on. */
+    /** With fewer answers, the timeout is derived from the useful time. */
     static final int MIN_SAMPLES = 5;
 
-    /** Operators name a useful time of some two to three times what the work takes. */
+    /** Operators configure a useful time of some two to three times the usual run time. */
     static final double USEFUL_TIME_SHARE = 0.75;
 
-    /** Below, the scheduling of a busy VM decides. */
+    /** Below it, run times depend on the scheduling of a busy VM. */
     static final long MIN_TIMEOUT_MILLIS = 50;
 
-    /** Beyond the mean by so many mean deviations a run is looked at; seconds apart at most. */
+    /**
+     * A run is checked at these numbers of mean deviations above the mean, at most seconds apart.
+     */
     private static final double[] CHECK_DEVIATIONS = {0, 0.8, 1.6, 2.4};
 
-    /** Least mean deviation, as part of the mean; a handful of answers alike proves no more. */
+    /** Least mean deviation, as a share of the mean; a few similar answers do not justify less. */
     private static final double MIN_DEVIATION_SHARE = 0.2;
 
-    /** Scale of a logistic law with a mean deviation of 1. */
+    /** Scale of a logistic distribution with a mean deviation of 1. */
     private static final double LOGISTIC_SCALE = 1 / (2 * Math.log(2));
 
-    /** Part of the answers that no law foretells: a few take several times as long. */
+    /** Share of answers outside the distribution: a few take several times as long. */
     private static final double OUTLIER_SHARE = 0.03;
 
-    /** Old answers fade with this gain. */
+    /** Least gain of the moving averages, with which old answers decay. */
     private static final double MIN_GAIN = 0.05;
 
-    /** Kinds told apart; what is beyond shares one. */
+    /** Most kinds of work with an estimate of their own; further kinds share one. */
     private static final int MAX_KINDS = 256;
 
     private static final String OTHER_KINDS = "";
 
     private final Map<String, Estimate> mEstimates = new HashMap<>();
 
-    /** Mean and mean deviation of the time that a kind of work takes. */
+    /** Mean and mean deviation of the run time of a kind of work. */
     private record Distribution(double meanMillis, double deviationMillis) {}
 
     private static final class Estimate {
@@ -63,72 +66,79 @@
             double gain = Math.max(MIN_GAIN, 1.0 / mCount);
             double error = millis - mMeanMillis;
             mMeanMillis += gain * error;
-            // The first answer lies off the mean by nothing, and says nothing of the others.
+            // The first answer defines the mean, and is no evidence of the deviation.
             double deviationGain = mCount == 1 ? 0 : Math.max(MIN_GAIN, 1.0 / (mCount - 1));
             mDeviationMillis += deviationGain * (Math.abs(error) - mDeviationMillis);
         }
     }
 
-    /** Takes in a run that ended with an answer. */
-    public synchronized void answered(String work, double millis) {
-        boolean known = mEstimates.containsKey(work) || mEstimates.size() < MAX_KINDS;
-        mEstimates.computeIfAbsent(known ? work : OTHER_KINDS, kind -> new Estimate()).add(millis);
+    /** Records the run time of an answered request. */
+    public synchronized void answered(String workKind, double millis) {
+        boolean hasOwnEstimate = mEstimates.containsKey(workKind) || mEstimates.size() < MAX_KINDS;
+        mEstimates
+                .computeIfAbsent(hasOwnEstimate ? workKind : OTHER_KINDS, kind -> new Estimate())
+                .add(millis);
     }
 
-    /** Returns whether enough answers to this work came to tell how long they take. */
-    synchronized boolean hasEnoughSamples(String work) {
-        Estimate known = mEstimates.get(work);
-        return known != null && known.mCount >= MIN_SAMPLES;
+    /** Returns whether there are enough answers to estimate the run time of a kind of work. */
+    synchronized boolean hasEnoughSamples(String workKind) {
+        Estimate estimate = mEstimates.get(workKind);
+        return estimate != null && estimate.mCount >= MIN_SAMPLES;
     }
 
     /**
-     * Returns the part of the answers to this work that come within a time, from 0 to 1; 0 while
-     * that is not known.
+     * Returns the share of answers to a kind of work that arrive within a time, from 0 to 1; 0 if
+     * there are too few answers to estimate it.
      */
-    synchronized double answeredShareWithin(String work, double millis) {
-        if (!hasEnoughSamples(work)) {
+    synchronized double answeredShareWithin(String workKind, double millis) {
+        if (!hasEnoughSamples(workKind)) {
             return 0;
         }
-        Distribution law = distributionOf(work);
-        double scale = Math.max(1, law.deviationMillis() * LOGISTIC_SCALE);
-        return (1 - OUTLIER_SHARE) / (1 + Math.exp((law.meanMillis() - millis) / scale));
+        Distribution distribution = distributionOf(workKind);
+        double scale = Math.max(1, distribution.deviationMillis() * LOGISTIC_SCALE);
+        return (1 - OUTLIER_SHARE) / (1 + Math.exp((distribution.meanMillis() - millis) / scale));
     }
 
     /**
-     * Returns the next time after which a run that goes on tells something new, in milliseconds
-     * since its start; {@link Long#MAX_VALUE} if none is to come.
+     * Returns the next time at which a run that continues is new evidence, in milliseconds since
+     * its start; {@link Long#MAX_VALUE} if there is none.
      */
-    synchronized long nextCheckMillis(String work, long millis) {
-        if (!hasEnoughSamples(work)) {
+    synchronized long nextCheckMillis(String workKind, long millis) {
+        if (!hasEnoughSamples(workKind)) {
             return Long.MAX_VALUE;
         }
-        Distribution law = distributionOf(work);
-        for (double mark : CHECK_DEVIATIONS) {
-            long markMillis = (long) (law.meanMillis() + mark * law.deviationMillis());
-            if (markMillis > Math.max(millis, MIN_TIMEOUT_MILLIS)) {
-                return markMillis;
+        Distribution distribution = distributionOf(workKind);
+        for (double deviations : CHECK_DEVIATIONS) {
+            long checkMillis =
+                    (long)
+                            (distribution.meanMillis()
+                                    + deviations * distribution.deviationMillis());
+            if (checkMillis > Math.max(millis, MIN_TIMEOUT_MILLIS)) {
+                return checkMillis;
             }
         }
         return Long.MAX_VALUE;
     }
 
     /**
-     * Returns after how long a run is overdue, in milliseconds.
+     * Returns the time after which a run times out, in milliseconds.
      *
-     * @param usefulMillis time within which its answer is of full use
+     * @param usefulMillis time within which the answer has its full value to the caller
      */
-    public synchronized long runTimeoutMillis(String work, long usefulMillis) {
+    public synchronized long runTimeoutMillis(String workKind, long usefulMillis) {
         double millis = USEFUL_TIME_SHARE * usefulMillis;
-        if (hasEnoughSamples(work)) {
-            Distribution law = distributionOf(work);
-            millis = law.meanMillis() + TIMEOUT_DEVIATIONS * law.deviationMillis();
+        if (hasEnoughSamples(workKind)) {
+            Distribution distribution = distributionOf(workKind);
+            millis =
+                    distribution.meanMillis() + TIMEOUT_DEVIATIONS * distribution.deviationMillis();
         }
         return Math.max(MIN_TIMEOUT_MILLIS, (long) millis);
     }
 
-    private Distribution distributionOf(String work) {
-        Estimate known = mEstimates.get(work);
-        double least = MIN_DEVIATION_SHARE * known.mMeanMillis;
-        return new Distribution(known.mMeanMillis, Math.max(least, known.mDeviationMillis));
+    private Distribution distributionOf(String workKind) {
+        Estimate estimate = mEstimates.get(workKind);
+        double minDeviationMillis = MIN_DEVIATION_SHARE * estimate.mMeanMillis;
+        return new Distribution(
+                estimate.mMeanMillis, Math.max(minDeviationMillis, estimate.mDeviationMillis));
     }
 }
--- a/src/main/java/org/apricotgauge/decision/health/package-info.java
+++ b/src/main/java/org/apricotgauge/decision/health/package-info.java
@@ -1,2 +1,2 @@
-/** How likely a target is to be in one of its short sick spells, from what its requests show. */
+/** Estimates whether a target is in a short gray-failure episode from its requests' outcomes. */
 package org.apricotgauge.decision.health;
--- a/src/test/java/org/apricotgauge/decision/attempt/AttemptLedgerTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/AttemptLedgerTest.java
@@ -26,25 +26,23 @@
 
     @Test
     void clockEstimateAdvancesAndCutsLongDeadlines() {
-        GuardClockEstimate sighting =
-                new GuardClockEstimate(new GuardStamp(INCARNATION, 10_000), 500);
-        assertThat(sighting.newAttempt(mIds.next(), 700, 1_000).latestStartMillis())
-                .isEqualTo(10_500);
-        assertThat(sighting.newAttempt(mIds.next(), 700, 9_000_000).latestStartMillis())
+        GuardClockEstimate clock = new GuardClockEstimate(new GuardStamp(INCARNATION, 10_000), 500);
+        assertThat(clock.newAttempt(mIds.next(), 700, 1_000).latestStartMillis()).isEqualTo(10_500);
+        assertThat(clock.newAttempt(mIds.next(), 700, 9_000_000).latestStartMillis())
                 .isEqualTo(10_200 + AttemptLimits.DEFAULT.maxLifetimeMillis());
     }
 
     @Test
     void fenceStopsLateAndQueuedAttempts() {
-        Attempt late = attempt(500);
-        assertThat(mLedger.fence(late, 0).state()).isEqualTo(FenceAnswer.State.NOT_RUN);
-        assertThat(mLedger.admit(late, 1)).isEqualTo(AttemptAdmission.FENCED);
+        Attempt lateAttempt = attempt(500);
+        assertThat(mLedger.fence(lateAttempt, 0).state()).isEqualTo(FenceAnswer.State.NOT_RUN);
+        assertThat(mLedger.admit(lateAttempt, 1)).isEqualTo(AttemptAdmission.FENCED);
 
-        Attempt waiting = attempt(500);
-        assertThat(mLedger.admit(waiting, 2)).isEqualTo(AttemptAdmission.ADMITTED);
-        assertThat(mLedger.fence(waiting, 3).state()).isEqualTo(FenceAnswer.State.NOT_RUN);
-        assertThat(mLedger.started(waiting)).isFalse();
-        assertThat(mLedger.withdraw(waiting, 4)).isTrue();
+        Attempt queuedAttempt = attempt(500);
+        assertThat(mLedger.admit(queuedAttempt, 2)).isEqualTo(AttemptAdmission.ADMITTED);
+        assertThat(mLedger.fence(queuedAttempt, 3).state()).isEqualTo(FenceAnswer.State.NOT_RUN);
+        assertThat(mLedger.started(queuedAttempt)).isFalse();
+        assertThat(mLedger.withdraw(queuedAttempt, 4)).isTrue();
     }
 
     @Test
@@ -63,8 +61,8 @@
 
     @Test
     void fenceIsAnsweredOnlyWithinGracePeriod() {
-        Attempt never = attempt(500);
-        assertThat(mLedger.fence(never, 600).state()).isEqualTo(FenceAnswer.State.NOT_RUN);
+        Attempt neverArrived = attempt(500);
+        assertThat(mLedger.fence(neverArrived, 600).state()).isEqualTo(FenceAnswer.State.NOT_RUN);
         assertThat(mLedger.fence(attempt(500), 601)).isEqualTo(FenceAnswer.FORGOTTEN);
         assertThat(mLedger.admit(attempt(550), 601)).isEqualTo(AttemptAdmission.EXPIRED);
     }
--- a/src/test/java/org/apricotgauge/decision/attempt/IdempotencyLedgerTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/IdempotencyLedgerTest.java
@@ -31,11 +31,11 @@
                 .isEqualTo(new KeyDecision.InProgress());
         assertThat(mLedger.begin(key("a"), 2, ALWAYS, 9_000)).isEqualTo(new KeyDecision.Conflict());
         mLedger.completed(key("a"), answer("booked"), 9_000);
-        KeyDecision verdict = mLedger.begin(key("a"), 1, ALWAYS, 10_000);
-        assertThat(verdict)
+        KeyDecision decision = mLedger.begin(key("a"), 1, ALWAYS, 10_000);
+        assertThat(decision)
                 .isInstanceOfSatisfying(
                         KeyDecision.Replay.class,
-                        done -> assertThat(done.answer().isComplete()).isTrue());
+                        replay -> assertThat(replay.answer().isComplete()).isTrue());
         assertThat(mLedger.begin(key("a"), 1, ALWAYS, 10_001)).isEqualTo(new KeyDecision.Execute());
     }
 
--- a/src/test/java/org/apricotgauge/decision/attempt/RetryAllowancePolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/RetryAllowancePolicyTest.java
@@ -10,7 +10,7 @@
 import org.apricotgauge.model.Service;
 import org.junit.jupiter.api.Test;
 
-/** Retries of a whole fleet, bounded by nodes that share no counter. */
+/** Retries of a whole fleet, limited by nodes that share no counter. */
 class RetryAllowancePolicyTest {
     private static final Service SERVICE =
             new Service("s", 0, new DetectionOdds(1, 1), 20, 100, null);
@@ -20,13 +20,13 @@
 
     @Test
     void fleetTotalHoldsInEveryWindow() {
-        // The load: every request of a service fails and each node would retry at once, all the
-        // time, after a quiet spell in which it has saved what it may. 45 requests a second arrive,
-        // all at one node: the skew that helps one node most.
-        RetryAllowancePolicy pool = RetryAllowancePolicy.ofFleet(PER_WINDOW, 10);
+        // Load: every request of a service fails, and each node retries whenever it may, after an
+        // idle time that filled its bucket. 50 requests per second arrive, all at one node, which
+        // is the skew that allows one node the most retries.
+        RetryAllowancePolicy policy = RetryAllowancePolicy.ofFleet(PER_WINDOW, 10);
         List<RetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < GUARDS; i++) {
-            budgets.add(new RetryBudgetRegistry(pool, 0).of(SERVICE, GUARDS));
+            budgets.add(new RetryBudgetRegistry(policy, 0).of(SERVICE, GUARDS));
         }
         Deque<Long> retries = new ArrayDeque<>();
         int most = 0;
@@ -49,7 +49,8 @@
 
     @Test
     void newProcessStartsWithoutSavedRetries() {
-        // A fleet that is killed and restarted would spend its savings twice within one window.
+        // Guards against a fleet that is killed and restarted using its buckets twice in one
+        // window.
         RetryBudget budget =
                 new RetryBudgetRegistry(RetryAllowancePolicy.ofFleet(62, 10), 5_000)
                         .of(SERVICE, GUARDS);
--- a/src/test/java/org/apricotgauge/decision/attempt/RetryBudgetTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/RetryBudgetTest.java
@@ -4,13 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a service's retries may take of its traffic. */
+/** Retries of one service, limited to a share of its traffic. */
 class RetryBudgetTest {
 
     @Test
     void chargedRetriesReduceLaterRetries() {
-        // A report is sent again to another target, whose two lookups at this service count as
-        // retries here, too. They are let through; the service's own next retries are not.
+        // Guards against retries beyond the budget when another service retries: a report that is
+        // retried makes two lookups at this service, which count as retries here. They are allowed,
+        // and the next retries of this service are refused instead.
         RetryBudget budget = new RetryBudget(0.5, 1, 0);
         budget.charge();
         budget.charge();
--- a/src/test/java/org/apricotgauge/decision/attempt/RetryPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/RetryPolicyTest.java
@@ -54,7 +54,7 @@
                                 new Outcome.Unknown(UnknownReason.EARLIER_ATTEMPT)));
     }
 
-    // Guards against one copy of a request that crashes target after target.
+    // Guards against retries of a request that crashes one target after another.
     @Test
     void doesNotRetryQuarantinedRequests() {
         Outcome refused = new Outcome.NotRun(NotRunReason.QUARANTINED, 600_000);
@@ -88,15 +88,15 @@
             budget.onRequest();
             retries += budget.tryRetry(i) ? 1 : 0;
         }
-        // A tenth of the traffic, the burst, and one a second for ten seconds.
+        // A tenth of the traffic, the burst, and one per second for ten seconds.
         assertThat(retries).isBetween(1_000, 1_021);
         assertThat(budget.tryRetry(60_000)).isTrue();
     }
 
     @Test
     void lastRunOfIdempotentRequestTakesNoRisk() {
-        // A lookup may fail at a suspect target and be served by another. If that one fails it too,
-        // its caller gets a failure though steady targets were there.
+        // Guards against lookups that fail although healthy targets are available: a lookup may
+        // fail at a suspect target and still be served by a second one, but not if that fails too.
         SubmissionProgress fresh = SubmissionProgress.of(true, false);
         SubmissionProgress failedOnce = fresh.after(new Outcome.Answered(500));
         SubmissionProgress booking = SubmissionProgress.of(false, false);
@@ -109,11 +109,11 @@
 
     @Test
     void lastAttemptAcceptsAnyTarget() {
-        Outcome bounced = new Outcome.NotRun(NotRunReason.TARGET_SUSPECT, 0);
-        SubmissionProgress bouncedTwice =
-                SubmissionProgress.of(false, false).after(bounced).after(bounced);
+        Outcome refused = new Outcome.NotRun(NotRunReason.TARGET_SUSPECT, 0);
+        SubmissionProgress refusedTwice =
+                SubmissionProgress.of(false, false).after(refused).after(refused);
 
-        assertThat(POLICY.riskTolerance(bouncedTwice, 2)).isEqualTo(HealthGate.RiskTolerance.NONE);
+        assertThat(POLICY.riskTolerance(refusedTwice, 2)).isEqualTo(HealthGate.RiskTolerance.NONE);
     }
 
     private static RetryDecision decide(SubmissionProgress progress) {
--- a/src/test/java/org/apricotgauge/decision/health/EpisodeSimulation.java
+++ b/src/test/java/org/apricotgauge/decision/health/EpisodeSimulation.java
@@ -7,11 +7,11 @@
 import org.apricotgauge.decision.health.HealthGate.RiskTolerance;
 
 /**
- * Requests at one service whose targets fall sick by a law that nobody told the gates.
+ * Simulates requests to a service whose targets degrade by a model unknown to their gates.
  *
- * <p>A request that must not repeat goes to the likeliest healthy of some targets drawn at random,
- * as an entry that hears news does, another to any; where a gate turns it away, it tries the
- * others.
+ * <p>A non-idempotent request is sent to the most likely healthy of some targets drawn at random,
+ * as by an entry that receives health reports; an idempotent request to any of them. If a gate
+ * refuses the request, it is sent to the other targets in turn.
  */
 final class EpisodeSimulation {
     private final Site mSite;
@@ -30,15 +30,15 @@
     int mRetries;
 
     /**
-     * What holds on the site.
+     * Parameters of the simulated site.
      *
-     * @param targets targets of the service
-     * @param episodeMillis mean length of a spell
-     * @param degradedShare share of time in spells
-     * @param degradedFailureRate share that a sick target fails
-     * @param failureMillis time after which a failure comes; answers take 600 ms
-     * @param perSecond requests a second
-     * @param idempotentShare share of them that may repeat
+     * @param targets number of targets of the service
+     * @param episodeMillis mean length of an episode
+     * @param degradedShare share of time in episodes
+     * @param degradedFailureRate share of requests that a degraded target fails
+     * @param failureMillis time until a failure; answers take 600 ms on average
+     * @param perSecond requests per second
+     * @param idempotentShare share of requests that are idempotent
      */
     record Site(
             int targets,
@@ -56,37 +56,37 @@
         }
     }
 
-    EpisodeSimulation(Site law, int drawn, long seed) {
-        mSite = law;
-        mCandidates = drawn;
+    EpisodeSimulation(Site site, int candidates, long seed) {
+        mSite = site;
+        mCandidates = candidates;
         mRandom = new SplittableRandom(seed);
-        mDegradedUntilMillis = new double[law.targets()];
-        mDegradedFromMillis = new double[law.targets()];
-        for (int i = 0; i < law.targets(); i++) {
+        mDegradedUntilMillis = new double[site.targets()];
+        mDegradedFromMillis = new double[site.targets()];
+        for (int i = 0; i < site.targets(); i++) {
             mGates.add(new HealthGate());
         }
     }
 
-    /** Lets failures be requests to which nothing comes until nobody waits any more. */
+    /** Makes failed requests end without an answer instead of with an error. */
     EpisodeSimulation withHangs() {
         mHangs = true;
         return this;
     }
 
-    /** Lets the gates learn from runs that have ended alone. */
+    /** Makes the gates learn only from runs that have ended. */
     EpisodeSimulation withoutChecks() {
         mChecksRunning = false;
         return this;
     }
 
-    /** Plays some seconds; counts only what comes after the first ones. */
+    /** Simulates some seconds; counts only requests that arrive from a given second on. */
     EpisodeSimulation run(long seconds, long fromSecond) {
-        double arriveMillis = 0;
-        while (arriveMillis < seconds * 1_000) {
-            arriveMillis += exponential(1_000 / mSite.perSecond());
-            long at = (long) arriveMillis;
-            boolean counts = at >= fromSecond * 1_000;
-            mSteps.add(new Step(at, () -> arrived(counts)));
+        double arrivalMillis = 0;
+        while (arrivalMillis < seconds * 1_000) {
+            arrivalMillis += exponential(1_000 / mSite.perSecond());
+            long atMillis = (long) arrivalMillis;
+            boolean counts = atMillis >= fromSecond * 1_000;
+            mSteps.add(new Step(atMillis, () -> arrived(counts)));
         }
         while (!mSteps.isEmpty()) {
             Step step = mSteps.poll();
@@ -101,36 +101,36 @@
     }
 
     private void arrived(boolean counts) {
-        boolean repeatable = mRandom.nextDouble() < mSite.idempotentShare();
-        mNonIdempotent += counts && !repeatable ? 1 : 0;
-        send(repeatable ? RiskTolerance.MAY_TRY : RiskTolerance.STEADY, counts, repeatable ? 2 : 1);
+        boolean idempotent = mRandom.nextDouble() < mSite.idempotentShare();
+        mNonIdempotent += counts && !idempotent ? 1 : 0;
+        send(idempotent ? RiskTolerance.MAY_TRY : RiskTolerance.STEADY, counts, idempotent ? 2 : 1);
     }
 
-    private void send(RiskTolerance caution, boolean counts, int runs) {
-        for (int target : order(caution)) {
+    private void send(RiskTolerance riskTolerance, boolean counts, int runs) {
+        for (int target : order(riskTolerance)) {
             HealthGate gate = mGates.get(target);
-            if (gate.mayStart(caution, mNowMillis)) {
-                start(target, gate, caution, counts, runs);
+            if (gate.mayStart(riskTolerance, mNowMillis)) {
+                start(target, gate, riskTolerance, counts, runs);
                 return;
             }
         }
-        if (caution == RiskTolerance.STEADY && counts) {
+        if (riskTolerance == RiskTolerance.STEADY && counts) {
             mRefused++;
             mNonIdempotentFailed += runs == 1 ? 1 : 0;
         }
     }
 
-    private List<Integer> order(RiskTolerance caution) {
+    private List<Integer> order(RiskTolerance riskTolerance) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < mSite.targets(); i++) {
             all.add(mRandom.nextInt(all.size() + 1), i);
         }
-        List<Integer> drawn = new ArrayList<>(all.subList(0, Math.min(mCandidates, all.size())));
-        if (caution == RiskTolerance.STEADY) {
-            drawn.sort((a, b) -> Double.compare(probability(a), probability(b)));
+        List<Integer> ordered = new ArrayList<>(all.subList(0, Math.min(mCandidates, all.size())));
+        if (riskTolerance == RiskTolerance.STEADY) {
+            ordered.sort((a, b) -> Double.compare(probability(a), probability(b)));
         }
-        drawn.addAll(all.subList(drawn.size(), all.size()));
-        return drawn;
+        ordered.addAll(all.subList(ordered.size(), all.size()));
+        return ordered;
     }
 
     private double probability(int target) {
@@ -138,23 +138,23 @@
     }
 
     private void start(
-            int target, HealthGate gate, RiskTolerance caution, boolean counts, int runs) {
+            int target, HealthGate gate, RiskTolerance riskTolerance, boolean counts, int runs) {
         boolean fails =
                 mRandom.nextDouble() < (isDegraded(target) ? mSite.degradedFailureRate() : 0.012);
-        long tookMillis = fails ? mSite.failureMillis() : 300 + mRandom.nextInt(600);
+        long durationMillis = fails ? mSite.failureMillis() : 300 + mRandom.nextInt(600);
         HealthGate.Run run = gate.started(mNowMillis);
-        scheduleChecks(gate, run, mNowMillis, tookMillis);
-        schedule(tookMillis, () -> ended(gate, run, fails, caution, counts, runs));
+        scheduleChecks(gate, run, mNowMillis, durationMillis);
+        schedule(durationMillis, () -> ended(gate, run, fails, riskTolerance, counts, runs));
     }
 
     private void scheduleChecks(
-            HealthGate gate, HealthGate.Run run, long startMillis, long tookMillis) {
-        if (mChecksRunning && run.checkMillis() < tookMillis) {
+            HealthGate gate, HealthGate.Run run, long startMillis, long durationMillis) {
+        if (mChecksRunning && run.checkMillis() < durationMillis) {
             schedule(
                     startMillis + run.checkMillis() - mNowMillis,
                     () -> {
                         gate.stillRunning(run, mNowMillis);
-                        scheduleChecks(gate, run, startMillis, tookMillis);
+                        scheduleChecks(gate, run, startMillis, durationMillis);
                     });
         }
     }
@@ -163,7 +163,7 @@
             HealthGate gate,
             HealthGate.Run run,
             boolean fails,
-            RiskTolerance caution,
+            RiskTolerance riskTolerance,
             boolean counts,
             int runs) {
         if (fails && mHangs) {
--- a/src/test/java/org/apricotgauge/decision/health/EpisodeSimulationTest.java
+++ b/src/test/java/org/apricotgauge/decision/health/EpisodeSimulationTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Targets that fall sick every few seconds and then fail most of what they get, by laws that differ
- * from site to site and are told to nobody.
+ * Guards against lost requests at targets that degrade every few seconds and then fail most of
+ * their requests, under episode models that differ between sites and are not known to the gates.
  *
- * <p>90 requests a second at 15 targets, two of three must not repeat; a healthy target fails 1.2
- * in 100. A failure comes at once, after some work, or at the end of it. Counted is what must not
- * repeat and fails. Without any care it would be the share of sick time times the rate of failures,
- * and 1.2 in 100 more: 26 in 100 in the first row.
+ * <p>90 requests per second at 15 targets; two of three are not idempotent. A healthy target fails
+ * 1.2 in 100 requests. A failure takes no time, a part of an answer's time, or all of it. Counts
+ * the failed share of the non-idempotent requests. Without gates it would be the share of degraded
+ * time times the failure rate, plus 1.2 in 100: 26 in 100 in the first row.
  */
 class EpisodeSimulationTest {
     private static final int TARGETS = 15;
@@ -22,7 +22,7 @@
     private static final int SEEDS = 4;
     private static final int HANG_SEEDS = 12;
 
-    /** An entry weighs health against load and distance, which leaves it a choice of a few. */
+    /** An entry weighs health against load and distance, which leaves a few candidate targets. */
     private static final int CANDIDATES = 3;
 
     @ParameterizedTest
@@ -36,48 +36,67 @@
         "2700, 0.3, 0.85, 600, 0.120",
     })
     void fewRequestsFailUnderEveryEpisodeModel(
-            double spellMillis, double sickShare, double fails, long failMillis, double bound) {
-        assertThat(failedShare(spellMillis, sickShare, fails, failMillis, CANDIDATES))
+            double episodeMillis,
+            double degradedShare,
+            double failureRate,
+            long failureMillis,
+            double bound) {
+        assertThat(
+                        failedShare(
+                                episodeMillis,
+                                degradedShare,
+                                failureRate,
+                                failureMillis,
+                                CANDIDATES))
                 .isLessThan(bound);
     }
 
     /**
-     * Targets that hang: nothing comes until patience is over, after 1.4 s, where answers take 0.3
-     * to 0.9 s. Each target gets three requests a second.
+     * Guards against hung targets that are detected only by run timeouts. Failed requests get no
+     * answer before the run timeout of 1.4 s, while answers take 0.3 to 0.9 s. Each target receives
+     * three requests per second.
      */
     @Test
     void detectsHungTargetsBeforeRunTimeout() {
-        EpisodeSimulation.Site law =
+        EpisodeSimulation.Site site =
                 new EpisodeSimulation.Site(
                         TARGETS, 2_700, 0.3, 0.85, 1_400, 3 * TARGETS, IDEMPOTENT_SHARE);
-        double waiting = 0;
-        double looking = 0;
+        double failedWithoutChecks = 0;
+        double failedWithChecks = 0;
         for (int seed = 0; seed < HANG_SEEDS; seed++) {
-            EpisodeSimulation blind =
-                    new EpisodeSimulation(law, CANDIDATES, seed).withHangs().withoutChecks();
-            EpisodeSimulation watching = new EpisodeSimulation(law, CANDIDATES, seed).withHangs();
-            waiting += blind.run(60, 15).nonIdempotentFailedShare() / HANG_SEEDS;
-            looking += watching.run(60, 15).nonIdempotentFailedShare() / HANG_SEEDS;
+            EpisodeSimulation withoutChecks =
+                    new EpisodeSimulation(site, CANDIDATES, seed).withHangs().withoutChecks();
+            EpisodeSimulation withChecks =
+                    new EpisodeSimulation(site, CANDIDATES, seed).withHangs();
+            failedWithoutChecks +=
+                    withoutChecks.run(60, 15).nonIdempotentFailedShare() / HANG_SEEDS;
+            failedWithChecks += withChecks.run(60, 15).nonIdempotentFailedShare() / HANG_SEEDS;
         }
 
-        assertThat(looking).isLessThan(0.9 * waiting);
+        assertThat(failedWithChecks).isLessThan(0.9 * failedWithoutChecks);
     }
 
     private static double failedShare(
-            double spellMillis, double sickShare, double fails, long failMillis, int drawn) {
-        EpisodeSimulation.Site law =
+            double episodeMillis,
+            double degradedShare,
+            double failureRate,
+            long failureMillis,
+            int candidates) {
+        EpisodeSimulation.Site site =
                 new EpisodeSimulation.Site(
                         TARGETS,
-                        spellMillis,
-                        sickShare,
-                        fails,
-                        failMillis,
+                        episodeMillis,
+                        degradedShare,
+                        failureRate,
+                        failureMillis,
                         PER_SECOND,
                         IDEMPOTENT_SHARE);
         double failed = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             failed +=
-                    new EpisodeSimulation(law, drawn, seed).run(60, 15).nonIdempotentFailedShare()
+                    new EpisodeSimulation(site, candidates, seed)
+                                    .run(60, 15)
+                                    .nonIdempotentFailedShare()
                             / SEEDS;
         }
         return failed;
--- a/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
+++ b/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
@@ -7,16 +7,16 @@
 import org.apricotgauge.decision.health.HealthGate.RiskTolerance;
 import org.junit.jupiter.api.Test;
 
-/** Targets whose sick spells last seconds, as their guard judges them. */
+/** Decisions of a guard on targets with gray-failure episodes of some seconds. */
 class HealthGateTest {
     private static final long ANSWER_MILLIS = 200;
     private static final long SECOND = 1_000;
 
     @Test
     void oneFailureKeepsNonIdempotentRequestsAway() {
-        // A caller's booking would fail at a target that has just failed another; a second or third
-        // failure to be sure would be a second or third lost booking. How long it stays away
-        // follows from the spells that the gate has seen: some 2.7 s here.
+        // Guards against losing further bookings at a target that has just failed one: waiting for
+        // a second or third failure would lose a second or third booking. How long bookings stay
+        // away follows from the earlier episodes, which last 2.7 s here.
         HealthGate gate = new HealthGate();
         long start = simulate(gate, 240);
         ended(gate, false, start);
@@ -41,8 +41,8 @@
 
     @Test
     void idempotentRequestsProbeSuspectTargetOneAtATime() {
-        // Tried right after its failure, a target fails again, and the retry that this costs is
-        // missing elsewhere.
+        // Guards against wasted retries: a target that is probed right after its failure fails
+        // again, and the retry that this costs is not available elsewhere.
         HealthGate gate = new HealthGate();
         ended(gate, true, 0);
         assertThat(mayProbe(gate, 1)).isFalse();
@@ -70,9 +70,9 @@
 
     @Test
     void answersToRequestsFromBeforeEpisodeDoNotClearTarget() {
-        // Seven requests are at work when their target falls sick; the next one is reset at once.
-        // The seven are answered within the second, and say that the target was well before. Taken
-        // for news, they would send bookings into the spell.
+        // Seven requests are running when their target degrades, and the next one is reset at once.
+        // The seven are answered within the second, which shows only that the target was healthy
+        // before. If they counted as new evidence, bookings would be sent into the episode.
         HealthGate gate = new HealthGate();
         HealthGate.Run[] before = new HealthGate.Run[7];
         for (int i = 0; i < before.length; i++) {
@@ -121,7 +121,7 @@
         assertThat(probability(gate, now + 100)).isCloseTo(before, within(0.05));
     }
 
-    // Guards against slow targets that are taken for hung where sick ones fail at once.
+    // Guards against treating slow targets as hung where degraded ones fail at once.
     @Test
     void timeoutMeansHungOnlyWhereFailuresAreTimeouts() {
         HealthGate failsAtOnce = new HealthGate();
@@ -157,36 +157,37 @@
 
         assertThat(failed.probability()).isGreaterThan(0.75);
         assertThat(failed.probabilityAt(600 * SECOND)).isCloseTo(failed.baseline(), within(0.001));
-        DegradationEstimate.Report told = failed.toReport(0);
-        assertThat(DegradationEstimate.Report.parse(told.toText())).contains(told);
+        DegradationEstimate.Report report = failed.toReport(0);
+        assertThat(DegradationEstimate.Report.parse(report.toText())).contains(report);
         assertThat(DegradationEstimate.Report.parse("no,such,thing")).isEmpty();
     }
 
     @Test
     void fewerRequestsFailThanWithoutGate() {
-        // The load: 4 requests a second at one target that is sick for 2.7 s in 9, when it fails 85
-        // in 100, else 1 in 100; each fourth request may repeat. Counted is what must not repeat
-        // and fails, of all that came: unguarded about 26 in 100 fail.
+        // Load: 4 requests per second at one target that is degraded for 2.7 s of every 9 s. It
+        // fails 85 in 100 requests then, and 1 in 100 otherwise; every fourth request is
+        // idempotent. Counts the failed share of the non-idempotent requests that started; without
+        // the gate about 26 in 100 fail.
         SplittableRandom random = new SplittableRandom(7);
         HealthGate gate = new HealthGate();
         int failed = 0;
         int passed = 0;
         for (long now = 0; now < 3_600 * SECOND; now += 250) {
-            boolean sick = now % (9 * SECOND) < 2_700;
-            boolean fails = random.nextDouble() < (sick ? 0.85 : 0.01);
-            RiskTolerance caution =
+            boolean degraded = now % (9 * SECOND) < 2_700;
+            boolean fails = random.nextDouble() < (degraded ? 0.85 : 0.01);
+            RiskTolerance riskTolerance =
                     random.nextInt(4) == 0 ? RiskTolerance.MAY_TRY : RiskTolerance.STEADY;
-            if (gate.mayStart(caution, now)) {
+            if (gate.mayStart(riskTolerance, now)) {
                 ended(gate, fails, now);
-                passed += caution == RiskTolerance.STEADY ? 1 : 0;
-                failed += caution == RiskTolerance.STEADY && fails ? 1 : 0;
+                passed += riskTolerance == RiskTolerance.STEADY ? 1 : 0;
+                failed += riskTolerance == RiskTolerance.STEADY && fails ? 1 : 0;
             }
         }
 
         assertThat((double) failed / passed).isLessThan(0.20);
     }
 
-    /** Four requests a second, which fail for 2.7 s of each 9 s; returns when it ended. */
+    /** Runs four requests per second, which fail for 2.7 s of every 9 s; returns the end time. */
     private static long simulate(HealthGate gate, long seconds) {
         long now = 0;
         for (; now < seconds * SECOND; now += 250) {
@@ -195,7 +196,7 @@
         return now;
     }
 
-    /** A failure comes at once, an answer takes a fifth of a second. */
+    /** Runs one request; a failure takes no time, an answer a fifth of a second. */
     private static void ended(HealthGate gate, boolean failed, long nowMillis) {
         HealthGate.Run run = gate.started(nowMillis);
         gate.ended(run, failed, failed ? nowMillis : nowMillis + ANSWER_MILLIS);
--- a/src/test/java/org/apricotgauge/decision/health/HealthReportPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/health/HealthReportPolicyTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which entries hear of a target's health, and how often. */
+/** Which entries are notified of a target's health, and how often. */
 class HealthReportPolicyTest {
     private static final double HEALTHY = 0.06;
     private static final double DEGRADED = 0.9;
@@ -46,12 +46,12 @@
     @Test
     void doesNotRepeatWhatEntriesCanDerive() {
         mPolicy.recordUse("near", true, 0);
-        DegradationEstimate first = new DegradationEstimate(HEALTHY, BASELINE, DECAY_MILLIS, 10);
-        assertThat(mPolicy.hostsToNotify(first, IDLE, 10)).containsExactly("near");
+        DegradationEstimate estimate = new DegradationEstimate(HEALTHY, BASELINE, DECAY_MILLIS, 10);
+        assertThat(mPolicy.hostsToNotify(estimate, IDLE, 10)).containsExactly("near");
 
         long laterMillis = 10 + 2 * HealthReportPolicy.MIN_INTERVAL_MILLIS;
-        assertThat(mPolicy.hostsToNotify(first, IDLE, laterMillis)).isEmpty();
-        assertThat(mPolicy.hostsToNotify(first, HealthReportPolicy.LOAD_TOLERANCE, laterMillis))
+        assertThat(mPolicy.hostsToNotify(estimate, IDLE, laterMillis)).isEmpty();
+        assertThat(mPolicy.hostsToNotify(estimate, HealthReportPolicy.LOAD_TOLERANCE, laterMillis))
                 .containsExactly("near");
     }
 
@@ -63,9 +63,9 @@
         assertThat(hostsToNotify(HEALTHY, 10 + (long) DECAY_MILLIS)).containsExactly("near");
     }
 
-    private List<String> hostsToNotify(double sick, long nowMillis) {
-        DegradationEstimate outlook =
-                new DegradationEstimate(sick, BASELINE, DECAY_MILLIS, nowMillis);
-        return mPolicy.hostsToNotify(outlook, IDLE, nowMillis);
+    private List<String> hostsToNotify(double probability, long nowMillis) {
+        DegradationEstimate estimate =
+                new DegradationEstimate(probability, BASELINE, DECAY_MILLIS, nowMillis);
+        return mPolicy.hostsToNotify(estimate, IDLE, nowMillis);
     }
 }
--- a/src/test/java/org/apricotgauge/decision/health/RunTimeEstimatorTest.java
+++ b/src/test/java/org/apricotgauge/decision/health/RunTimeEstimatorTest.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** When a run is taken for hung: work of 0.1 to 2 s at targets that hang for seconds. */
+/** Run timeouts for work of 0.1 to 2 s at targets that may hang for seconds. */
 class RunTimeEstimatorTest {
     private static final long USEFUL_MILLIS = 2_000;
 
@@ -16,7 +16,7 @@
         assertThat(mEstimator.runTimeoutMillis("browse", USEFUL_MILLIS)).isEqualTo(1_500);
     }
 
-    // Guards against patience learned from long work that lets short work wait for seconds.
+    // Guards against a timeout learned from long work that lets short work wait for seconds.
     @Test
     void eachKindOfWorkHasItsOwnTimeout() {
         Random random = new Random(1);
@@ -30,19 +30,19 @@
                 .isBetween(2_400L, 4_800L);
     }
 
-    // Guards against healthy targets that lose much of their work to impatience.
+    // Guards against timeouts that abort much of the work of healthy targets.
     @Test
     void fewSuccessfulRunsTimeOut() {
         Random random = new Random(2);
-        int overdue = 0;
+        int timedOut = 0;
         int runs = 4_000;
         for (int i = 0; i < runs; i++) {
             double millis = 800 * spread(random);
-            overdue += millis > mEstimator.runTimeoutMillis("browse", USEFUL_MILLIS) ? 1 : 0;
+            timedOut += millis > mEstimator.runTimeoutMillis("browse", USEFUL_MILLIS) ? 1 : 0;
             mEstimator.answered("browse", millis);
         }
 
-        assertThat(overdue).isLessThan(runs / 15);
+        assertThat(timedOut).isLessThan(runs / 15);
     }
 
     private static double spread(Random random) {
