--- a/src/main/java/org/apricotgauge/decision/admission/AdaptiveConcurrencyLimit.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdaptiveConcurrencyLimit.java
@@ -1,11 +1,11 @@
 package org.apricotgauge.decision.admission;
 
 /**
- * How many requests the target gets at once: its slots less those that others use unseen.
+ * Concurrency limit of a target: its slots less those that other systems use.
  *
- * <p>Another system may serve the same target. Each slot that it takes shows as a shed request
- * (503), or, if the target queues instead, as a longer service time. The limit steps down on
- * either, and tries one more after a wait that doubles while the tries fail.
+ * <p>Another system may send requests to the same target. A slot that it uses appears here as a
+ * shed request (503) or, if the target queues instead, as a longer service time. The limit
+ * decreases by one on either, and grows by one after a delay that doubles while growth fails.
  */
 final class AdaptiveConcurrencyLimit {
     private static final long MIN_GROWTH_DELAY_MILLIS = 50;
@@ -29,10 +29,10 @@
         return mLimit;
     }
 
-    /** Takes in a shed request that was admitted at the given time. */
+    /** Records that the target shed a request that was admitted at the given time. */
     void onShed(long admittedAtMillis, long nowMillis) {
-        // Requests admitted before the last step say nothing about the present limit; without this
-        // one busy moment of the target would take the limit from seven to nothing.
+        // Requests admitted before the last change are no evidence about the present limit. If they
+        // counted, one busy moment of the target would reduce the limit from 7 to 0.
         if (admittedAtMillis < mChangedAtMillis) {
             return;
         }
@@ -44,10 +44,11 @@
         change(Math.max(0, mLimit - 1), nowMillis);
     }
 
-    /** Takes in an answered request; the limit can grow only while it holds requests back. */
+    /** Records an answered request; the limit can grow only while it is fully used. */
     void onAnswered(boolean limitReached, long nowMillis) {
         mAnsweredSinceChange++;
-        // A step that held tells that slots have come free; the others are tried without delay.
+        // Growth that has held for as many answers as slots shows that slots are free again, so the
+        // next step needs no delay.
         if (mLastChangeWasGrowth && mAnsweredSinceChange >= mSlots) {
             mGrowthDelayMillis = MIN_GROWTH_DELAY_MILLIS;
             mNextGrowthMillis = Math.min(mNextGrowthMillis, nowMillis);
@@ -58,10 +59,10 @@
     }
 
     /**
-     * Takes in how slow a batch of answers was, as a multiple of the usual.
+     * Records the mean service time of a batch of answers, as a multiple of the baseline.
      *
-     * <p>Never below half of the slots: a target that is slow for a reason of its own would be
-     * starved of work without becoming any faster.
+     * <p>Slow batches never reduce the limit below half of the slots: a target that is slow for a
+     * reason of its own would be starved of requests without becoming any faster.
      */
     void onBatch(double inflation, long nowMillis) {
         if (inflation > SLOW_INFLATION && mLimit > (mSlots + 1) / 2) {
@@ -70,7 +71,7 @@
         }
     }
 
-    /** Grows back from nothing, where no answer can come to do it. */
+    /** Grows the limit from 0, where no answer can arrive that would grow it. */
     void onTick(long nowMillis) {
         if (mLimit == 0) {
             grow(nowMillis);
--- a/src/main/java/org/apricotgauge/decision/admission/AdmissionConfig.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdmissionConfig.java
@@ -3,26 +3,28 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Bounds of an {@link AdmissionQueue}.
+ * Limits of an {@link AdmissionQueue}.
  *
- * @param slots requests that the target serves at once when nobody else uses it
- * @param maxQueued tickets that wait at once
- * @param maxMembers members told apart at once; beyond it the others share a few queues
- * @param initialServiceMicros service time assumed until some are measured
- * @param slotUse who else uses the slots
+ * @param slots requests that the target serves at once when no other system uses it
+ * @param maxQueued maximum number of queued tickets
+ * @param maxMembers members that have a queue of their own; any further ones share a few queues
+ * @param initialServiceMicros service time assumed until one is measured, in microseconds
+ * @param slotUse whether other systems use the slots as well
  */
 public record AdmissionConfig(
         int slots, int maxQueued, int maxMembers, long initialServiceMicros, SlotUse slotUse) {
     /** Who uses the slots of a target. */
     public enum SlotUse {
         /**
-         * Others use some unseen, as an older routing system; the limit follows what they leave.
+         * Other systems, such as an older routing system, use some of the slots; the limit adapts
+         * to the slots that they leave free.
          */
         SHARED,
         /**
-         * The guard alone. A target that sheds with slots free is broken, not busy: with the limit
-         * stepping down, targets that shed half of their requests out of a fault kept one slot of
-         * three, and the rest of the requests waited past their deadlines.
+         * Only the guard uses the slots. A target that sheds while slots are free is faulty, not
+         * busy, so the limit stays. When it still adapted, targets that shed half of their requests
+         * due to a fault kept one slot of three, and the other requests queued past their
+         * deadlines.
          */
         EXCLUSIVE
     }
@@ -31,26 +33,26 @@
     private static final int DEFAULT_MEMBERS = 1_024;
     private static final long DEFAULT_SERVICE_MICROS = 20_000;
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public AdmissionConfig {
         Checks.inRange("slots", slots, 1, 10_000);
         Checks.inRange("maxQueued", maxQueued, 1, 100_000);
         Checks.inRange("maxMembers", maxMembers, 1, 100_000);
         Checks.inRange("initialServiceMicros", initialServiceMicros, 1, 3_600_000_000L);
-        Checks.notNull("use", slotUse);
+        Checks.notNull("slotUse", slotUse);
     }
 
-    /** Makes bounds of slots that others use, too. */
+    /** Creates limits for slots that other systems use as well. */
     public AdmissionConfig(int slots, int maxQueued, int maxMembers, long initialServiceMicros) {
         this(slots, maxQueued, maxMembers, initialServiceMicros, SlotUse.SHARED);
     }
 
-    /** Returns the usual bounds for a target with so many slots, which others use, too. */
+    /** Returns the default limits for a target whose slots other systems use as well. */
     public static AdmissionConfig forSlots(int slots) {
         return forSlots(slots, SlotUse.SHARED);
     }
 
-    /** Returns the usual bounds for a target with so many slots. */
+    /** Returns the default limits for a target with the given number of slots. */
     public static AdmissionConfig forSlots(int slots, SlotUse use) {
         return new AdmissionConfig(
                 slots, slots * QUEUED_PER_SLOT, DEFAULT_MEMBERS, DEFAULT_SERVICE_MICROS, use);
--- a/src/main/java/org/apricotgauge/decision/admission/AdmissionDecision.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdmissionDecision.java
@@ -2,16 +2,17 @@
 
 import java.util.List;
 
-/** What becomes of a ticket that is offered to an {@link AdmissionQueue}. */
+/** The decision on a ticket that is offered to an {@link AdmissionQueue}. */
 public sealed interface AdmissionDecision {
 
-    /** It has a slot now; release it once. */
+    /** The ticket has a slot now; release it exactly once. */
     record Admitted() implements AdmissionDecision {}
 
     /**
-     * It waits.
+     * The ticket is queued.
      *
-     * @param displaced tickets that lost their place to it; answer them at once
+     * @param displaced tickets that were removed from the full queue in its favor; answer them at
+     *     once
      */
     record Queued(List<Rejection> displaced) implements AdmissionDecision {
         /** Copies the list. */
@@ -21,9 +22,9 @@
     }
 
     /**
-     * It gets no place; answer it at once.
+     * The ticket is rejected; answer it at once.
      *
-     * @param rejection reason and Retry-After
+     * @param rejection the reason and the value of Retry-After
      */
     record Rejected(Rejection rejection) implements AdmissionDecision {}
 }
--- a/src/main/java/org/apricotgauge/decision/admission/AdmissionQueue.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdmissionQueue.java
@@ -7,20 +7,21 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * The slots of one target and the short queue before them.
+ * The slots of one target and the bounded queue in front of them.
  *
  * <pre>{@code
- * Offer offer = queue.offer(ticket, now);
- * // Admitted: start it.  Queued: wait, and answer the displaced.  Refused: answer it at once.
- * Changes changes = queue.release(ticket, Result.ANSWERED, serviceMicros, now);
- * // start changes.admitted(), answer changes.refused()
+ * AdmissionDecision decision = queue.offer(ticket, nowMillis);
+ * // Admitted: start it.  Queued: wait, and answer the displaced.  Rejected: answer it at once.
+ * QueueChanges changes = queue.release(ticket, RunResult.ANSWERED, serviceMicros, nowMillis);
+ * // start changes.admitted(), answer changes.rejected()
  * }</pre>
  *
- * <p>What can still end in time to be of full use goes before what cannot, class by class. Served
- * in the order of arrival, a busy target makes all of its callers late; so it makes as many as it
- * can not late, and the rest wait for what is left or go elsewhere.
+ * <p>Within a priority class, tickets that can still meet their soft deadline are served before
+ * those that cannot. In the order of arrival, a busy target would make all of its callers late; in
+ * this order it serves as many as possible in time, and the others queue for the remaining capacity
+ * or try another target.
  *
- * <p>Every admitted ticket must be released exactly once. Call {@link #expire} every 10 ms or so
+ * <p>Every admitted ticket must be released exactly once. Call {@link #expire} about every 10 ms
  * while {@link #queued} is not zero. Times are readings of one monotonic clock in milliseconds.
  * Thread-safe by one lock for each target, held for O(log n) steps and never during I/O.
  */
@@ -37,7 +38,7 @@
     private final ServiceTimes mServiceTimes;
     private final Map<Long, Running> mRunning = new HashMap<>();
 
-    /** Makes an empty queue. */
+    /** Creates an empty queue. */
     public AdmissionQueue(AdmissionConfig config) {
         mConfig = Checks.notNull("config", config);
         mQueue = new FairQueue(config.maxMembers(), config.initialServiceMicros());
@@ -46,13 +47,13 @@
     }
 
     /**
-     * Takes in a request, or refuses it if it can't be served before its deadline.
+     * Admits, queues or rejects a request.
      *
-     * @throws IllegalStateException if a ticket of this identifier waits or runs already
+     * @throws IllegalStateException if a ticket of this identifier is already queued or running
      */
     public synchronized AdmissionDecision offer(Ticket ticket, long nowMillis) {
         if (mQueue.contains(ticket) || mRunning.containsKey(ticket.id())) {
-            throw new IllegalStateException("ticket offered twice: " + ticket);
+            throw new IllegalStateException("ticket is already queued or running: " + ticket);
         }
         mConcurrencyLimit.onTick(nowMillis);
         if (ticket.deadlineMillis() <= nowMillis) {
@@ -64,31 +65,31 @@
             addRunning(mQueue.startWithoutQueueing(ticket), nowMillis);
             return new AdmissionDecision.Admitted();
         }
-        boolean useful = meetsSoftDeadline(ticket, nowMillis + waitMillis(ticket, true, nowMillis));
-        if (!mayWait(ticket, useful)) {
+        boolean onTime = meetsSoftDeadline(ticket, nowMillis + waitMillis(ticket, true, nowMillis));
+        if (!mayWait(ticket, onTime)) {
             return reject(ticket, RejectionReason.BUSY, nowMillis);
         }
-        double neededMillis = waitMillis(ticket, useful, nowMillis) + upperServiceMillis(ticket);
-        if (nowMillis + neededMillis > ticket.deadlineMillis()) {
+        double expectedMillis = waitMillis(ticket, onTime, nowMillis) + upperServiceMillis(ticket);
+        if (nowMillis + expectedMillis > ticket.deadlineMillis()) {
             return reject(ticket, RejectionReason.DEADLINE_TOO_SHORT, nowMillis);
         }
-        if (!useful && !mayWaitPastSoftDeadline(ticket)) {
+        if (!onTime && !mayWaitPastSoftDeadline(ticket)) {
             return reject(ticket, RejectionReason.BUSY, nowMillis);
         }
-        return enqueue(ticket, useful, nowMillis);
+        return enqueue(ticket, onTime, nowMillis);
     }
 
-    private static boolean mayWait(Ticket ticket, boolean useful) {
+    private static boolean mayWait(Ticket ticket, boolean onTime) {
         return switch (ticket.queueingPolicy()) {
             case NO_WAIT -> false;
-            case WHILE_USEFUL -> useful;
+            case WHILE_USEFUL -> onTime;
             case MAY_WAIT -> true;
         };
     }
 
-    private AdmissionDecision enqueue(Ticket ticket, boolean useful, long nowMillis) {
+    private AdmissionDecision enqueue(Ticket ticket, boolean onTime, long nowMillis) {
         if (mQueue.size() < mConfig.maxQueued()) {
-            mQueue.add(ticket, useful);
+            mQueue.add(ticket, onTime);
             return new AdmissionDecision.Queued(List.of());
         }
         Ticket victim = mQueue.victimFor(ticket);
@@ -96,16 +97,18 @@
             return reject(ticket, RejectionReason.QUEUE_FULL, nowMillis);
         }
         mQueue.remove(victim);
-        mQueue.add(ticket, useful);
+        mQueue.add(ticket, onTime);
         return new AdmissionDecision.Queued(
                 List.of(rejection(victim, RejectionReason.QUEUE_FULL, nowMillis)));
     }
 
     /**
-     * Gives back the slot of an admitted ticket.
+     * Releases the slot of an admitted ticket.
      *
-     * @param serviceMicros time from the first byte to the target until its answer ended
-     * @return tickets that got the slot, and tickets whose deadline came too near
+     * @param serviceMicros time from the first byte sent to the target until the end of its answer,
+     *     in microseconds
+     * @return tickets that are admitted now, and queued tickets that can no longer be served in
+     *     time
      * @throws IllegalStateException if the ticket has no slot
      */
     public synchronized QueueChanges release(
@@ -113,19 +116,19 @@
         boolean limitReached = mRunning.size() >= mConcurrencyLimit.get();
         Running running = mRunning.remove(ticket.id());
         if (running == null) {
-            throw new IllegalStateException("ticket released that has no slot: " + ticket);
+            throw new IllegalStateException("released ticket has no slot: " + ticket);
         }
         if (result == RunResult.UNSENT) {
             mStartRateLimiter.returnToken();
         }
         mQueue.correctCharge(running.charge(), serviceMicros);
-        boolean batchDone = false;
+        boolean batchCompleted = false;
         if (result == RunResult.ANSWERED) {
-            batchDone = mServiceTimes.add(ticket.workKind(), serviceMicros);
+            batchCompleted = mServiceTimes.add(ticket.workKind(), serviceMicros);
             mQueue.setMeanServiceMicros(mServiceTimes.meanMicros());
         }
         if (mConfig.slotUse() == AdmissionConfig.SlotUse.SHARED) {
-            adaptLimit(running, result, limitReached, batchDone, nowMillis);
+            adaptLimit(running, result, limitReached, batchCompleted, nowMillis);
         }
         return startQueued(nowMillis);
     }
@@ -134,73 +137,75 @@
             Running running,
             RunResult result,
             boolean limitReached,
-            boolean batchDone,
+            boolean batchCompleted,
             long nowMillis) {
         if (result == RunResult.SHED) {
             mConcurrencyLimit.onShed(running.admittedAtMillis(), nowMillis);
         } else if (result == RunResult.ANSWERED) {
             mConcurrencyLimit.onAnswered(limitReached, nowMillis);
-            if (batchDone) {
+            if (batchCompleted) {
                 mConcurrencyLimit.onBatch(mServiceTimes.inflation(), nowMillis);
             }
         }
     }
 
     /**
-     * Keeps the starts to a limit that the target has named.
+     * Limits the rate of starts, as requested by the target.
      *
-     * @param perSecond starts in a second, more than 0
+     * @param perSecond starts per second, greater than 0
      */
     public synchronized void setStartLimit(double perSecond, long nowMillis) {
         mStartRateLimiter.setLimit(perSecond, nowMillis);
     }
 
-    /** Keeps the starts to no limit any more; returns what may start now. */
+    /** Removes the limit on the rate of starts; returns the tickets that may start now. */
     public synchronized QueueChanges removeStartLimit(long nowMillis) {
         mStartRateLimiter.removeLimit();
         return startQueued(nowMillis);
     }
 
-    /** Returns whether a request could start but for the limit that the target has named. */
+    /** Returns whether the limit on the rate of starts currently prevents a start. */
     public synchronized boolean isRateLimited(long nowMillis) {
         return !mStartRateLimiter.mayStart(nowMillis);
     }
 
-    /** Takes out the waiting tickets that can't be served any more; answer them at once. */
+    /**
+     * Rejects queued tickets that can no longer be served in time, and admits others if possible.
+     */
     public synchronized QueueChanges expire(long nowMillis) {
         mConcurrencyLimit.onTick(nowMillis);
         return startQueued(nowMillis);
     }
 
-    /** Takes out a waiting ticket whose caller has gone; false if it doesn't wait. */
+    /** Removes a queued ticket whose caller has disconnected; false if it is not queued. */
     public synchronized boolean cancel(Ticket ticket) {
         return mQueue.remove(ticket);
     }
 
-    /** Returns how many tickets wait. */
+    /** Returns the number of queued tickets. */
     public synchronized int queued() {
         return mQueue.size();
     }
 
-    /** Returns how many tickets have a slot. */
+    /** Returns the number of tickets that have a slot. */
     public synchronized int inFlight() {
         return mRunning.size();
     }
 
-    /** Returns how many slots are used at most, at present. */
+    /** Returns the current limit on the number of slots in use. */
     public synchronized int concurrencyLimit() {
         return mConcurrencyLimit.get();
     }
 
-    /** Returns how many members are told apart at present. */
+    /** Returns the number of members and shared queues that are tracked currently. */
     public synchronized int memberCount() {
         return mQueue.flowCount();
     }
 
     private QueueChanges startQueued(long nowMillis) {
         List<Ticket> admitted = new ArrayList<>();
-        List<Rejection> refused = new ArrayList<>();
-        rejectLate(nowMillis, refused);
+        List<Rejection> rejected = new ArrayList<>();
+        rejectLate(nowMillis, rejected);
         while (mQueue.size() > 0
                 && mRunning.size() < mConcurrencyLimit.get()
                 && mStartRateLimiter.tryStart(nowMillis)) {
@@ -208,35 +213,35 @@
             addRunning(next, nowMillis);
             admitted.add(next.ticket());
         }
-        return new QueueChanges(admitted, refused);
+        return new QueueChanges(admitted, rejected);
     }
 
-    // A slot spent on a request whose caller stops waiting before the answer is a slot lost; under
-    // overload, served in the order of arrival, that becomes every slot.
-    private void rejectLate(long nowMillis, List<Rejection> refused) {
+    // A slot spent on a request whose caller times out before the answer is wasted. Under overload,
+    // with service in the order of arrival, that would become every slot.
+    private void rejectLate(long nowMillis, List<Rejection> rejected) {
         for (Ticket ticket : mQueue.tickets()) {
             if (nowMillis + upperServiceMillis(ticket) > ticket.deadlineMillis()) {
                 mQueue.remove(ticket);
-                refused.add(rejection(ticket, RejectionReason.DEADLINE_PASSED, nowMillis));
+                rejected.add(rejection(ticket, RejectionReason.DEADLINE_PASSED, nowMillis));
             } else if (mQueue.isOnTime(ticket) && !meetsSoftDeadline(ticket, nowMillis)) {
-                onSoftDeadlineMissed(ticket, refused, nowMillis);
+                onSoftDeadlineMissed(ticket, rejected, nowMillis);
             }
         }
     }
 
-    private void onSoftDeadlineMissed(Ticket ticket, List<Rejection> refused, long nowMillis) {
+    private void onSoftDeadlineMissed(Ticket ticket, List<Rejection> rejected, long nowMillis) {
         mQueue.remove(ticket);
         if (ticket.queueingPolicy() == QueueingPolicy.WHILE_USEFUL
                 || !mayWaitPastSoftDeadline(ticket)) {
-            refused.add(rejection(ticket, RejectionReason.BUSY, nowMillis));
+            rejected.add(rejection(ticket, RejectionReason.BUSY, nowMillis));
         } else {
             mQueue.add(ticket, false);
         }
     }
 
-    // Behind a queue that newer work overtakes, what is late already would be held to its deadline
-    // and refused then: on the heaviest day measured, requests of an eighth of the day's worth were
-    // held so. It waits one round of the slots at the most.
+    // Newer requests overtake a late one, so behind a longer queue it would be kept until its
+    // deadline and rejected then. On the heaviest day measured, this happened to requests of an
+    // eighth of the day's value. So a late request queues for one round of the slots at most.
     private boolean mayWaitPastSoftDeadline(Ticket ticket) {
         return ticket.nestedCall() || mQueue.size() < mConfig.slots();
     }
@@ -258,8 +263,8 @@
         return new Rejection(ticket, reason, (long) Math.ceil(Math.max(1, waitMillis)));
     }
 
-    private double waitMillis(Ticket ticket, boolean useful, long nowMillis) {
-        double starts = mQueue.servicesAhead(ticket, useful);
+    private double waitMillis(Ticket ticket, boolean onTime, long nowMillis) {
+        double starts = mQueue.servicesAhead(ticket, onTime);
         double slotMillis = starts * meanServiceMillis() / Math.max(1, mConcurrencyLimit.get());
         return Math.max(slotMillis, mStartRateLimiter.waitMillis(starts, nowMillis));
     }
--- a/src/main/java/org/apricotgauge/decision/admission/FairQueue.java
+++ b/src/main/java/org/apricotgauge/decision/admission/FairQueue.java
@@ -8,29 +8,29 @@
 import java.util.TreeSet;
 
 /**
- * Waiting tickets in the order of start-time fair queueing by member, with a bounded lead for
- * urgent work.
+ * Queued tickets in the order of start-time fair queueing by member, with a bounded lead for urgent
+ * requests.
  *
- * <p>A member's virtual time grows by the service that it received over its weight, and the member
- * with the least goes next (Goyal et al., SIGCOMM 1996). A flow whose most urgent ticket is of a
- * higher class is ordered as if it had received a few services less. The lead is constant, so it
- * shifts the order but not the shares: a member that sends nothing but urgent work still gets its
- * share and no more. Each step takes O(log n) in members and tickets.
+ * <p>A member's virtual time grows by the service that it receives, divided by its weight, and the
+ * member with the least virtual time is served next (Goyal et al., SIGCOMM 1996). A flow whose most
+ * urgent ticket is of a higher class is ordered as if it had been served a few requests less. This
+ * lead is constant, so it shifts the order but not the shares: a member that sends only urgent
+ * requests still gets its share and no more. Each operation takes O(log n) in members and tickets.
  */
 final class FairQueue {
 
     /**
-     * What a ticket in service was charged, until its true service time is known.
+     * The estimated service time charged for a running ticket, until the actual one is known.
      *
-     * @param ticket the ticket
-     * @param flow whose account it is
-     * @param chargedMicros the estimate that was charged
+     * @param ticket the running ticket
+     * @param flow the flow that was charged
+     * @param chargedMicros the charged estimate, in microseconds
      */
     record Charge(Ticket ticket, Flow flow, double chargedMicros) {}
 
     private record QueuedTicket(Ticket ticket, Flow.SortKey sortKey, Flow flow) {}
 
-    /** Services that a member's most urgent class is ahead of its account, by class. */
+    /** Lead of a flow by its most urgent class, in mean service times. */
     private static final double[] LEAD_SERVICES = {16, 8, 2, 0, 0};
 
     private static final int SHARED_FLOWS = 16;
@@ -60,13 +60,13 @@
     private long mActiveWeight;
     private long mNextSequence;
 
-    FairQueue(int maxMembers, double meanMicros) {
+    FairQueue(int maxMembers, double meanServiceMicros) {
         mMaxMembers = maxMembers;
-        mMeanServiceMicros = meanMicros;
+        mMeanServiceMicros = meanServiceMicros;
     }
 
-    void setMeanServiceMicros(double meanMicros) {
-        mMeanServiceMicros = meanMicros;
+    void setMeanServiceMicros(double meanServiceMicros) {
+        mMeanServiceMicros = meanServiceMicros;
     }
 
     int size() {
@@ -84,80 +84,81 @@
     /**
      * Adds a ticket.
      *
-     * @param useful whether it can end in time to be of full use, which puts it before those of its
-     *     class that cannot
+     * @param onTime whether the ticket is expected to finish by its soft deadline; such tickets are
+     *     served before the others of their class
      */
-    void add(Ticket ticket, boolean useful) {
+    void add(Ticket ticket, boolean onTime) {
         Flow flow = flowOf(ticket);
         long sequence = mNextSequence++;
-        QueuedTicket waiting = new QueuedTicket(ticket, sortKeyOf(ticket, useful, sequence), flow);
-        mSortKeysByClass.get(ticket.priority().ordinal()).add(waiting.sortKey());
+        QueuedTicket queued = new QueuedTicket(ticket, sortKeyOf(ticket, onTime, sequence), flow);
+        mSortKeysByClass.get(ticket.priority().ordinal()).add(queued.sortKey());
         removeFromOrder(flow);
         if (flow.queued() == 0) {
             flow.raiseVirtualTime(mVirtualTimeMicros);
         }
-        flow.add(waiting.sortKey(), ticket);
+        flow.add(queued.sortKey(), ticket);
         addToOrder(flow);
-        mQueuedById.put(ticket.id(), waiting);
-        mQueuedBySequence.put(sequence, waiting);
+        mQueuedById.put(ticket.id(), queued);
+        mQueuedBySequence.put(sequence, queued);
         mTicketsByDeadline.get(ticket.priority().ordinal()).add(ticket);
     }
 
-    private static Flow.SortKey sortKeyOf(Ticket ticket, boolean useful, long sequence) {
-        long dueMillis = useful ? ticket.softDeadlineMillis() : ticket.deadlineMillis();
-        return new Flow.SortKey(ticket.nestedCall(), useful, dueMillis, sequence);
+    private static Flow.SortKey sortKeyOf(Ticket ticket, boolean onTime, long sequence) {
+        long dueMillis = onTime ? ticket.softDeadlineMillis() : ticket.deadlineMillis();
+        return new Flow.SortKey(ticket.nestedCall(), onTime, dueMillis, sequence);
     }
 
     boolean remove(Ticket ticket) {
-        QueuedTicket waiting = mQueuedById.get(ticket.id());
-        if (waiting == null) {
+        QueuedTicket queued = mQueuedById.get(ticket.id());
+        if (queued == null) {
             return false;
         }
-        removeQueued(waiting);
+        removeQueued(queued);
         return true;
     }
 
-    /** Returns whether a waiting ticket has the place of one that can be of full use. */
+    /** Returns whether a queued ticket is ordered as one that meets its soft deadline. */
     boolean isOnTime(Ticket ticket) {
         return mQueuedById.get(ticket.id()).sortKey().onTime();
     }
 
-    /** Takes out the ticket to serve next and charges its member; null if none waits. */
+    /** Removes the ticket to serve next and charges its member; null if none is queued. */
     Charge poll() {
         if (mFlowOrder.isEmpty()) {
             return null;
         }
         Flow flow = mFlowOrder.first();
         mVirtualTimeMicros = Math.max(mVirtualTimeMicros, mFlowOrderMicros.get(flow));
-        QueuedTicket waiting = mQueuedBySequence.get(flow.pickSequence());
-        removeQueued(waiting);
-        Charge charge = charge(flow, waiting.ticket());
+        QueuedTicket next = mQueuedBySequence.get(flow.pickSequence());
+        removeQueued(next);
+        Charge charge = charge(flow, next.ticket());
         evictIdleFlows();
         return charge;
     }
 
-    /** Charges the member of a ticket that needn't wait. */
+    /** Charges the member of a ticket that starts without being queued. */
     Charge startWithoutQueueing(Ticket ticket) {
         Flow flow = flowOf(ticket);
         removeFromOrder(flow);
         flow.raiseVirtualTime(mVirtualTimeMicros);
         addToOrder(flow);
-        // Without this, service given while nobody waited would count against its member later.
+        // Otherwise service received while no ticket was queued would count against its member
+        // later.
         mVirtualTimeMicros = flow.virtualTimeMicros();
         return charge(flow, ticket);
     }
 
-    /** Corrects the charge once the true service time is known. */
-    void correctCharge(Charge charge, double servedMicros) {
+    /** Corrects a charge once the actual service time is known. */
+    void correctCharge(Charge charge, double serviceMicros) {
         Flow flow = charge.flow();
         removeFromOrder(flow);
         flow.onReleased();
-        flow.charge(servedMicros - charge.chargedMicros());
+        flow.charge(serviceMicros - charge.chargedMicros());
         addToOrder(flow);
         evictIdleFlows();
     }
 
-    /** Returns the waiting tickets, the more urgent classes first, in the order of deadlines. */
+    /** Returns the queued tickets, more urgent classes first, each class by earliest deadline. */
     List<Ticket> tickets() {
         List<Ticket> tickets = new ArrayList<>(mQueuedById.size());
         mTicketsByDeadline.forEach(tickets::addAll);
@@ -165,72 +166,73 @@
     }
 
     /**
-     * Returns the ticket that loses its place to the newcomer, or null if the newcomer has no
-     * better claim: the newest and least urgent of the member with the most waiting per weight.
+     * Returns the ticket to displace from a full queue in favor of a new one, or null if the new
+     * one is to be rejected. Candidates are the last ticket of the least urgent class of the member
+     * with the most queued tickets per weight, and that of the new ticket's own member.
      */
-    Ticket victimFor(Ticket newcomer) {
-        Flow own = mFlows.get(flowName(newcomer));
+    Ticket victimFor(Ticket newTicket) {
+        Flow own = mFlows.get(flowName(newTicket));
         double ownBacklog = own == null ? 0 : own.backlogPerWeight();
-        double ownNext = ownBacklog + 1.0 / newcomer.member().weight();
+        double ownNext = ownBacklog + 1.0 / newTicket.member().weight();
         Flow longest = mFlowsByBacklog.last();
         Ticket last = mQueuedBySequence.get(longest.lastSequence()).ticket();
-        boolean lessUrgent = last.priority().compareTo(newcomer.priority()) > 0;
+        boolean lessUrgent = last.priority().compareTo(newTicket.priority()) > 0;
         if (longest != own && longest.backlogPerWeight() > ownNext) {
             return last;
         }
         if (lessUrgent && longest.backlogPerWeight() >= ownBacklog) {
             return last;
         }
-        return ownVictim(own, newcomer);
+        return ownVictim(own, newTicket);
     }
 
-    private Ticket ownVictim(Flow own, Ticket newcomer) {
+    private Ticket ownVictim(Flow own, Ticket newTicket) {
         if (own == null || own.queued() == 0) {
             return null;
         }
         Ticket last = mQueuedBySequence.get(own.lastSequence()).ticket();
-        return last.priority().compareTo(newcomer.priority()) > 0 ? last : null;
+        return last.priority().compareTo(newTicket.priority()) > 0 ? last : null;
     }
 
     /**
-     * Estimates how many services start before that of a newcomer.
+     * Estimates how many tickets start up to and including a new one.
      *
-     * @param useful whether it would have the place of one that can be of full use
+     * @param onTime whether the new ticket would be ordered as one that meets its soft deadline
      */
-    double servicesAhead(Ticket newcomer, boolean useful) {
-        Flow own = mFlows.get(flowName(newcomer));
+    double servicesAhead(Ticket newTicket, boolean onTime) {
+        Flow own = mFlows.get(flowName(newTicket));
         boolean active = own != null && own.queued() > 0;
-        int ownAhead = own == null ? 0 : own.queued(newcomer.priority());
-        int weight = newcomer.member().weight();
+        int ownAhead = own == null ? 0 : own.queued(newTicket.priority());
+        int weight = newTicket.member().weight();
         double allWeight = active ? mActiveWeight : mActiveWeight + weight;
         double byShare = (ownAhead + 1) * allWeight / weight;
-        // A member that has used up its lead waits for its share, however urgent its work.
-        double lead = LEAD_SERVICES[newcomer.priority().ordinal()] * mMeanServiceMicros;
+        // A member that has used up its lead waits for its share, however urgent its requests are.
+        double lead = LEAD_SERVICES[newTicket.priority().ordinal()] * mMeanServiceMicros;
         if (active && own.virtualTimeMicros() - mVirtualTimeMicros > lead) {
             return byShare;
         }
-        return Math.min(byShare, queuedBefore(newcomer, useful) + 1.0);
+        return Math.min(byShare, queuedBefore(newTicket, onTime) + 1.0);
     }
 
-    private int queuedBefore(Ticket newcomer, boolean useful) {
-        int own = newcomer.priority().ordinal();
-        Flow.SortKey place = sortKeyOf(newcomer, useful, mNextSequence);
-        int count = mSortKeysByClass.get(own).headSet(place).size();
-        for (int i = 0; i < own; i++) {
+    private int queuedBefore(Ticket newTicket, boolean onTime) {
+        int ownClass = newTicket.priority().ordinal();
+        Flow.SortKey sortKey = sortKeyOf(newTicket, onTime, mNextSequence);
+        int count = mSortKeysByClass.get(ownClass).headSet(sortKey).size();
+        for (int i = 0; i < ownClass; i++) {
             count += mSortKeysByClass.get(i).size();
         }
         return count;
     }
 
-    private void removeQueued(QueuedTicket waiting) {
-        Flow flow = waiting.flow();
+    private void removeQueued(QueuedTicket queued) {
+        Flow flow = queued.flow();
         removeFromOrder(flow);
-        flow.remove(waiting.sortKey(), waiting.ticket());
-        mSortKeysByClass.get(waiting.ticket().priority().ordinal()).remove(waiting.sortKey());
+        flow.remove(queued.sortKey(), queued.ticket());
+        mSortKeysByClass.get(queued.ticket().priority().ordinal()).remove(queued.sortKey());
         addToOrder(flow);
-        mQueuedById.remove(waiting.ticket().id());
-        mQueuedBySequence.remove(waiting.sortKey().sequence());
-        mTicketsByDeadline.get(waiting.ticket().priority().ordinal()).remove(waiting.ticket());
+        mQueuedById.remove(queued.ticket().id());
+        mQueuedBySequence.remove(queued.sortKey().sequence());
+        mTicketsByDeadline.get(queued.ticket().priority().ordinal()).remove(queued.ticket());
     }
 
     private Charge charge(Flow flow, Ticket ticket) {
@@ -254,8 +256,9 @@
         return flow;
     }
 
-    // Without a bound, a flood of made-up member names would take the memory of the node. Members
-    // beyond it share a few flows: still bounded against the others, though not among themselves.
+    // Without a bound, a flood of invented member names would exhaust the memory of the node.
+    // Members beyond the bound share a few flows: they are limited against the others, but not
+    // among themselves.
     private String flowName(Ticket ticket) {
         String id = ticket.member().id();
         if (mFlows.containsKey(id) || mFlows.size() < mMaxMembers) {
@@ -289,7 +292,7 @@
         mActiveWeight += flow.weight();
     }
 
-    // An idle member whose virtual time has been overtaken is like one never seen.
+    // An idle flow whose virtual time the queue has passed is equivalent to a new one.
     private void evictIdleFlows() {
         while (!mIdleFlows.isEmpty()
                 && mIdleFlows.first().virtualTimeMicros() <= mVirtualTimeMicros) {
--- a/src/main/java/org/apricotgauge/decision/admission/Flow.java
+++ b/src/main/java/org/apricotgauge/decision/admission/Flow.java
@@ -7,17 +7,18 @@
 import org.apricotgauge.model.Priority;
 
 /**
- * One member's waiting tickets and its account of service.
+ * The queued tickets of one member and the service that it has received.
  *
- * <p>Within a class, the calls of running requests go first: each of them holds a slot elsewhere
- * that comes free once its call has ended. Then goes what can be of full use before what cannot,
- * and the earliest due; where all have the same time, that is the order of arrival.
+ * <p>Within a priority class, nested calls are served first, because each blocks a request that
+ * holds a slot elsewhere until the call ends. Then come the tickets that can meet their soft
+ * deadline, and then the others, each by earliest deadline. Equal deadlines are served in the order
+ * of arrival.
  */
 final class Flow {
     private static final List<Priority> CLASSES = List.of(Priority.values());
 
-    // A lower class that was passed over so often is served next, lest a member's urgent work
-    // starve its own patient work for ever.
+    // A lower class that was passed over this many times is served next, so that the urgent
+    // requests of a member cannot starve its patient ones.
     private static final int MAX_TIMES_PASSED_OVER = 8;
 
     private final String mName;
@@ -30,12 +31,12 @@
     private double mVirtualTimeMicros;
 
     /**
-     * A ticket's place in its class.
+     * The order of a ticket within its class.
      *
-     * @param nestedCall whether a request that holds a slot somewhere waits for it
-     * @param onTime whether it can end in time to be of full use
-     * @param dueMillis until when it can be of full use, or of any
-     * @param sequence when it came
+     * @param nestedCall whether a request that holds a slot elsewhere waits for this one
+     * @param onTime whether the request is expected to finish by its soft deadline
+     * @param dueMillis the soft deadline if it can be met, else the deadline
+     * @param sequence number in the order of arrival
      */
     record SortKey(boolean nestedCall, boolean onTime, long dueMillis, long sequence)
             implements Comparable<SortKey> {
@@ -51,15 +52,15 @@
         }
     }
 
-    Flow(String name, long sequence, double servedMicros) {
+    Flow(String name, long sequence, double virtualTimeMicros) {
         mName = name;
         mSequence = sequence;
-        mVirtualTimeMicros = servedMicros;
+        mVirtualTimeMicros = virtualTimeMicros;
     }
 
-    /** Returns a list that holds something of its own for each class. */
-    static <T> List<T> listPerClass(Supplier<T> maker) {
-        return CLASSES.stream().map(priority -> maker.get()).toList();
+    /** Returns a list with a new element for each priority class. */
+    static <T> List<T> listPerClass(Supplier<T> factory) {
+        return CLASSES.stream().map(priority -> factory.get()).toList();
     }
 
     String name() {
@@ -94,30 +95,30 @@
         return mQueued == 0 && mInFlight == 0;
     }
 
-    /** Returns the service received, divided by the weight: the flow's virtual time. */
+    /** Returns the virtual time of the flow: the service received, divided by the weight. */
     double virtualTimeMicros() {
         return mVirtualTimeMicros;
     }
 
-    void raiseVirtualTime(double virtualMicros) {
-        mVirtualTimeMicros = Math.max(mVirtualTimeMicros, virtualMicros);
+    void raiseVirtualTime(double virtualTimeMicros) {
+        mVirtualTimeMicros = Math.max(mVirtualTimeMicros, virtualTimeMicros);
     }
 
-    void charge(double micros) {
-        mVirtualTimeMicros += micros / mWeight;
+    void charge(double serviceMicros) {
+        mVirtualTimeMicros += serviceMicros / mWeight;
     }
 
     double backlogPerWeight() {
         return (double) mQueued / mWeight;
     }
 
-    void add(SortKey place, Ticket ticket) {
-        mWaitingByClass.get(ticket.priority().ordinal()).add(place);
+    void add(SortKey sortKey, Ticket ticket) {
+        mWaitingByClass.get(ticket.priority().ordinal()).add(sortKey);
         mQueued++;
     }
 
-    boolean remove(SortKey place, Ticket ticket) {
-        boolean removed = mWaitingByClass.get(ticket.priority().ordinal()).remove(place);
+    boolean remove(SortKey sortKey, Ticket ticket) {
+        boolean removed = mWaitingByClass.get(ticket.priority().ordinal()).remove(sortKey);
         if (removed) {
             mQueued--;
         }
@@ -132,7 +133,7 @@
         mInFlight--;
     }
 
-    /** Returns the most urgent class that waits; the flow must not be empty. */
+    /** Returns the most urgent class with a queued ticket; the flow must not be empty. */
     Priority mostUrgent() {
         for (Priority priority : CLASSES) {
             if (!mWaitingByClass.get(priority.ordinal()).isEmpty()) {
@@ -142,7 +143,7 @@
         throw new IllegalStateException("flow is empty: " + mName);
     }
 
-    /** Returns the sequence of the last ticket of the least urgent class that waits. */
+    /** Returns the sequence of the last ticket of the least urgent class that is queued. */
     long lastSequence() {
         for (int i = CLASSES.size() - 1; i >= 0; i--) {
             if (!mWaitingByClass.get(i).isEmpty()) {
@@ -152,7 +153,7 @@
         throw new IllegalStateException("flow is empty: " + mName);
     }
 
-    /** Picks the ticket to serve next and counts whom it passed over. */
+    /** Selects the ticket to serve next and counts how often each lower class is passed over. */
     long pickSequence() {
         int chosen = mostUrgent().ordinal();
         for (int i = CLASSES.size() - 1; i > chosen; i--) {
--- a/src/main/java/org/apricotgauge/decision/admission/QueueChanges.java
+++ b/src/main/java/org/apricotgauge/decision/admission/QueueChanges.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Tickets that left the queue in one step.
+ * Tickets that left the queue in one call.
  *
- * @param admitted have a slot now; start them
- * @param rejected will get none; answer them at once
+ * @param admitted tickets that have a slot now; start them
+ * @param rejected tickets that are rejected; answer them at once
  */
 public record QueueChanges(List<Ticket> admitted, List<Rejection> rejected) {
     /** No ticket left the queue. */
--- a/src/main/java/org/apricotgauge/decision/admission/Rejection.java
+++ b/src/main/java/org/apricotgauge/decision/admission/Rejection.java
@@ -3,15 +3,16 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * A ticket that is out of the queue without a slot; its caller is answered at once.
+ * A ticket that is rejected without having had a slot; its caller must be answered at once.
  *
- * @param ticket the ticket
- * @param reason why
- * @param retryAfterMillis when a new request of the member is likely to be served
+ * @param ticket the rejected ticket
+ * @param reason why it is rejected
+ * @param retryAfterMillis time in which a new request of the member is likely to be served, in
+ *     milliseconds
  */
 public record Rejection(Ticket ticket, RejectionReason reason, long retryAfterMillis) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public Rejection {
         Checks.notNull("ticket", ticket);
         Checks.notNull("reason", reason);
--- a/src/main/java/org/apricotgauge/decision/admission/RejectionReason.java
+++ b/src/main/java/org/apricotgauge/decision/admission/RejectionReason.java
@@ -1,13 +1,13 @@
 package org.apricotgauge.decision.admission;
 
-/** Why a request gets no slot. */
+/** Why a request is rejected. */
 public enum RejectionReason {
-    /** It could not have been served before its deadline. */
+    /** The request cannot be served before its deadline. */
     DEADLINE_TOO_SHORT,
-    /** No slot was free, and it must not wait. */
+    /** No slot is free, and the request must not wait for one. */
     BUSY,
-    /** Its deadline came too near while it waited. */
+    /** While the request was queued, too little time was left to serve it by its deadline. */
     DEADLINE_PASSED,
-    /** The queue was full, and others had a better claim to its places. */
+    /** The queue is full, and the other requests take precedence. */
     QUEUE_FULL
 }
--- a/src/main/java/org/apricotgauge/decision/admission/RunResult.java
+++ b/src/main/java/org/apricotgauge/decision/admission/RunResult.java
@@ -2,14 +2,14 @@
 
 /** How an admitted request ended at the target. */
 public enum RunResult {
-    /** The target answered it. */
+    /** The target answered. */
     ANSWERED,
-    /** The target refused it for want of a slot (503): others use its slots too. */
+    /** The target had no free slot and rejected it (503): other callers use its slots as well. */
     SHED,
     /** The target failed, or its connection broke. */
     FAILED,
-    /** It was given up before the target ended; its service time tells nothing. */
+    /** The run was abandoned before the target ended; its service time is meaningless. */
     CANCELLED,
-    /** No byte of it was written to the target. */
+    /** No byte of the request was written to the target. */
     UNSENT
 }
--- a/src/main/java/org/apricotgauge/decision/admission/ServiceTimeEstimator.java
+++ b/src/main/java/org/apricotgauge/decision/admission/ServiceTimeEstimator.java
@@ -1,9 +1,9 @@
 package org.apricotgauge.decision.admission;
 
-/** Moving mean and mean deviation of service times, kept as TCP keeps its round trips. */
+/** Moving mean and mean deviation of service times, as TCP estimates round-trip times. */
 final class ServiceTimeEstimator {
-    // Gains and multiple of RFC 6298: one late sample moves the estimate little, and about one
-    // service in twenty takes longer than the allowance.
+    // Gains and multiple in the manner of RFC 6298: a single outlier moves the estimate little, and
+    // about one run in 20 takes longer than the upper estimate.
     private static final double MEAN_GAIN = 0.05;
     private static final double DEVIATION_GAIN = 0.1;
     private static final double DEVIATIONS = 2;
@@ -18,7 +18,7 @@
 
     void add(long micros) {
         if (!mHasSample) {
-            // The first sample replaces the assumption, which may be off by orders of magnitude.
+            // The first sample replaces the initial value, which may be off by orders of magnitude.
             mMeanMicros = micros;
             mDeviationMicros = micros / 2.0;
             mHasSample = true;
@@ -33,7 +33,7 @@
         return mMeanMicros;
     }
 
-    /** Returns a time within which most services end. */
+    /** Returns a time within which most runs end. */
     double upperEstimateMicros() {
         return mMeanMicros + DEVIATIONS * mDeviationMicros;
     }
--- a/src/main/java/org/apricotgauge/decision/admission/ServiceTimes.java
+++ b/src/main/java/org/apricotgauge/decision/admission/ServiceTimes.java
@@ -4,22 +4,25 @@
 import java.util.Map;
 
 /**
- * Service times of a target: over all, by kind of work, and how far the last batch lies off the
- * usual.
+ * Service times of a target: overall, by kind of work, and the last batch relative to a long-term
+ * baseline.
  *
- * <p>Kept by priority, lookups of 60 ms shared an allowance with patient reports of 600 ms, and
- * were refused as too late whenever they would have had to wait: on the heaviest day measured, 321
- * of some 2,000 lookups that targets make while they serve a booking, each of which failed its
+ * <p>Estimates are kept by kind of work rather than by priority: with one estimate for each
+ * priority, lookups of 60 ms shared it with patient reports of 600 ms, and were rejected for their
+ * deadline whenever they would have had to queue. On the heaviest day measured, that rejected 321
+ * of some 2,000 lookups that targets make while they serve a booking, and each one failed its
  * booking.
  */
 final class ServiceTimes {
     private static final double BASELINE_GAIN = 0.05;
 
-    // Service times scatter widely: a moving mean of twenty wanders to twice its own lowest value
-    // without any cause. The mean of fifty, against the mean of many such means, hardly does.
+    // Service times vary widely: a moving mean of 20 drifts to twice its own minimum without any
+    // cause. The mean of 50, compared with the mean of many such means, hardly does.
     private static final int BATCH_SIZE = 50;
 
-    /** Kinds told apart; a service has a handful of routes, and what is beyond shares one. */
+    /**
+     * Kinds tracked separately; a service has a handful of routes, and any further kinds share one.
+     */
     private static final int MAX_KINDS = 256;
 
     private static final String OTHER_KINDS = "";
@@ -37,7 +40,7 @@
         mAll = new ServiceTimeEstimator(initialMicros);
     }
 
-    /** Takes in a service time; returns whether it completes a batch. */
+    /** Records a service time; returns whether it completes a batch. */
     boolean add(String kind, long micros) {
         mAll.add(micros);
         estimatorOf(kind).add(micros);
@@ -60,18 +63,18 @@
         return mAll.meanMicros();
     }
 
-    /** Returns a time within which most services of the kind end; the initial one if none did. */
+    /** Returns a time within which most runs of the kind end; the initial estimate if none has. */
     double upperEstimateMicros(String kind) {
         return estimatorOf(kind).upperEstimateMicros();
     }
 
     private ServiceTimeEstimator estimatorOf(String kind) {
-        boolean known = mByKind.containsKey(kind) || mByKind.size() < MAX_KINDS;
+        boolean ownEstimate = mByKind.containsKey(kind) || mByKind.size() < MAX_KINDS;
         return mByKind.computeIfAbsent(
-                known ? kind : OTHER_KINDS, name -> new ServiceTimeEstimator(mInitialMicros));
+                ownEstimate ? kind : OTHER_KINDS, name -> new ServiceTimeEstimator(mInitialMicros));
     }
 
-    /** Returns the mean of the last whole batch as a multiple of the usual. */
+    /** Returns the mean of the last complete batch as a multiple of the baseline. */
     double inflation() {
         return mBaselineMicros == 0 ? 1 : mBatchMeanMicros / mBaselineMicros;
     }
--- a/src/main/java/org/apricotgauge/decision/admission/StartRateLimiter.java
+++ b/src/main/java/org/apricotgauge/decision/admission/StartRateLimiter.java
@@ -3,17 +3,18 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Spaces the starts of requests so that a target gets no more in a second than it takes.
+ * Limits the rate at which requests are started at a target.
  *
  * <pre>{@code
- * pace.limit(2.5, nowMillis);
- * if (pace.tryStart(nowMillis)) {
+ * limiter.setLimit(2.5, nowMillis);
+ * if (limiter.tryStart(nowMillis)) {
  *     send();
  * }
  * }</pre>
  *
- * <p>A token bucket that starts empty and holds an eighth of a second's worth, so that a target in
- * need gets no burst. Not thread-safe. Times are readings of one monotonic clock in milliseconds.
+ * <p>A token bucket that starts empty and holds the tokens of an eighth of a second, but at least
+ * one, so that an overloaded target receives no burst. Not thread-safe. Times are readings of one
+ * monotonic clock in milliseconds.
  */
 public final class StartRateLimiter {
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -26,13 +27,13 @@
     private double mTokens;
     private long mRefilledAtMillis;
 
-    /** Creates a pace without a limit. */
+    /** Creates a limiter without a limit. */
     public StartRateLimiter() {}
 
     /**
-     * Keeps to a limit from now on.
+     * Sets the limit. Without a previous limit, the bucket starts empty.
      *
-     * @param perSecond starts in a second, more than 0
+     * @param perSecond starts per second, greater than 0
      */
     public void setLimit(double perSecond, long nowMillis) {
         Checks.inRange("perSecond", perSecond, Double.MIN_NORMAL, Double.MAX_VALUE);
@@ -48,7 +49,7 @@
         mTokens = Math.min(mTokens, mMaxTokens);
     }
 
-    /** Keeps to no limit any more. */
+    /** Removes the limit. */
     public void removeLimit() {
         mIsLimited = false;
     }
@@ -62,7 +63,7 @@
         return mTokens >= 1;
     }
 
-    /** Counts a request that starts, if it may; returns whether it may. */
+    /** Takes a token for a request that starts; returns false if there is none. */
     public boolean tryStart(long nowMillis) {
         if (!mayStart(nowMillis)) {
             return false;
@@ -71,15 +72,15 @@
         return true;
     }
 
-    /** Takes back a start of which the target heard nothing. */
+    /** Returns the token of a request that was never sent to the target. */
     public void returnToken() {
         mTokens = Math.min(mMaxTokens, mTokens + 1);
     }
 
     /**
-     * Returns how long a request waits, in milliseconds; 0 without a limit.
+     * Returns how long a request must wait for its token, in milliseconds; 0 without a limit.
      *
-     * @param starts starts up to its own
+     * @param starts number of starts up to and including its own
      */
     double waitMillis(double starts, long nowMillis) {
         if (!mIsLimited) {
@@ -90,9 +91,9 @@
     }
 
     private void refill(long nowMillis) {
-        // Readings of several threads may come in another order than they were taken.
-        long passedMillis = Math.max(0, nowMillis - mRefilledAtMillis);
-        mTokens = Math.min(mMaxTokens, mTokens + passedMillis * mTokensPerMilli);
-        mRefilledAtMillis += passedMillis;
+        // Clock readings of several threads may arrive out of order.
+        long elapsedMillis = Math.max(0, nowMillis - mRefilledAtMillis);
+        mTokens = Math.min(mMaxTokens, mTokens + elapsedMillis * mTokensPerMilli);
+        mRefilledAtMillis += elapsedMillis;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/admission/Ticket.java
+++ b/src/main/java/org/apricotgauge/decision/admission/Ticket.java
@@ -5,17 +5,17 @@
 import org.apricotgauge.model.Priority;
 
 /**
- * One request's place in an {@link AdmissionQueue}.
+ * A request as an {@link AdmissionQueue} handles it. Times are readings of the clock that the queue
+ * is called with, in milliseconds.
  *
- * @param id unique among the tickets of the queue
- * @param member customer whose share it counts against
- * @param priority how long its caller can wait
- * @param workKind name of the kind of work it is, as its route's; service times are kept for each
- * @param nestedCall whether a request that holds a slot somewhere waits for it
- * @param queueingPolicy whether it may wait
- * @param softDeadlineMillis when it must have ended to be of full use to its caller, by the clock
- *     that the queue is told
- * @param deadlineMillis when it must have ended to be of any use
+ * @param id identifier, unique among the tickets of the queue
+ * @param member customer whose share the request counts against
+ * @param priority class of the request, by how long its caller can wait
+ * @param workKind kind of work, such as the name of the route; service times are estimated for each
+ * @param nestedCall whether a request that holds a slot elsewhere waits for this one
+ * @param queueingPolicy whether the request may queue
+ * @param softDeadlineMillis when the request must have ended to be of full value to its caller
+ * @param deadlineMillis when the request must have ended to be of any value to its caller
  */
 public record Ticket(
         long id,
@@ -27,17 +27,17 @@
         long softDeadlineMillis,
         long deadlineMillis) {
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public Ticket {
         Checks.notNull("member", member);
         Checks.notNull("priority", priority);
-        Checks.notNull("work", workKind);
-        Checks.notNull("patience", queueingPolicy);
+        Checks.notNull("workKind", workKind);
+        Checks.notNull("queueingPolicy", queueingPolicy);
     }
 
     /**
-     * Makes a ticket that may wait, whose kind of work is told apart by its priority alone, and
-     * that is of full use until its deadline.
+     * Creates a ticket that may queue until its deadline, without an earlier soft deadline. Its
+     * kind of work is the name of its priority.
      */
     public Ticket(long id, Member member, Priority priority, long deadlineMillis) {
         this(
--- a/src/main/java/org/apricotgauge/decision/admission/package-info.java
+++ b/src/main/java/org/apricotgauge/decision/admission/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Admission to one target: how many requests it gets, which wait, which are refused, in what order.
+ * Admission control of one target: how many requests run at once, which ones queue or are rejected,
+ * and in what order queued requests are served.
  *
- * <p>Nothing here does I/O, reads a clock or starts a thread; docs/design/admission.md gives the
- * reasons.
+ * <p>Nothing here does I/O, reads a clock or starts a thread. docs/design/admission.md explains the
+ * design.
  */
 package org.apricotgauge.decision.admission;
--- a/src/main/java/org/apricotgauge/decision/routing/Candidate.java
+++ b/src/main/java/org/apricotgauge/decision/routing/Candidate.java
@@ -5,14 +5,14 @@
 import org.apricotgauge.model.Target;
 
 /**
- * A target as the balancer sees it.
+ * A target with the state that {@link BalancingPolicy} chooses by.
  *
  * @param target the target
- * @param guard address of the node beside it, or null if it is reached directly
- * @param leaving whether it must get no new work
- * @param weight share of work it may get, from 0 (ejected) to 1 (healthy)
- * @param rampStartNanos when its cold start began; {@link #NO_RAMP} if it is warm
- * @param load its load, shared by all routing tables
+ * @param guard address of the guard beside the target, or null if the target is reached directly
+ * @param leaving whether the target is leaving and must get no new requests
+ * @param weight factor on the target's share of requests, from 0 (ejected) to 1 (healthy)
+ * @param rampStartNanos when the target started cold, or {@link #NO_RAMP} if it is warm
+ * @param load load of the target, shared by all routing tables
  */
 public record Candidate(
         Target target,
@@ -21,17 +21,17 @@
         double weight,
         long rampStartNanos,
         TargetLoad load) {
-    /** Marks a target that needs no ramp. */
+    /** Value of {@code rampStartNanos} for a warm target. */
     public static final long NO_RAMP = Long.MIN_VALUE;
 
-    /** Checks the parts. */
+    /** Checks the components. */
     public Candidate {
         Checks.notNull("target", target);
         Checks.inRange("weight", weight, 0.0, 1.0);
         Checks.notNull("load", load);
     }
 
-    /** Returns whether the target may get new work at all. */
+    /** Returns whether the target may get new requests. */
     public boolean isEligible() {
         return !leaving && weight > 0;
     }
--- a/src/main/java/org/apricotgauge/decision/routing/RouteIndex.java
+++ b/src/main/java/org/apricotgauge/decision/routing/RouteIndex.java
@@ -8,15 +8,16 @@
 import org.apricotgauge.model.Route;
 
 /**
- * Finds the route of a request: the exact host before any host, then the longest path prefix.
+ * Finds the route of a request: an exact host takes precedence over any host, then the longest path
+ * prefix wins.
  *
  * <pre>{@code
  * Optional<Route> route = index.find("booking.example", "/bookings/17");
  * }</pre>
  *
  * <p>A prefix ends at a slash: {@code /bookings} covers {@code /bookings} and {@code /bookings/17},
- * not {@code /bookingsx}. A look-up costs one hash probe for each slash of the path, however many
- * routes there are. Immutable.
+ * not {@code /bookingsx}. A lookup takes one hash probe for each slash of the path, regardless of
+ * the number of routes. Immutable.
  */
 public final class RouteIndex {
     private final Map<String, Map<String, Route>> mByHostAndPrefix;
@@ -27,7 +28,7 @@
 
     /**
      * Builds an index. Of two routes with the same host and prefix, the one whose id sorts first
-     * wins, so that every node decides alike.
+     * wins, so that all nodes decide the same.
      */
     public static RouteIndex of(Collection<Route> routes) {
         Map<String, Map<String, Route>> byHost = new HashMap<>();
@@ -38,14 +39,14 @@
         return new RouteIndex(byHost);
     }
 
-    private static Route firstById(Route one, Route other) {
-        return one.id().compareTo(other.id()) <= 0 ? one : other;
+    private static Route firstById(Route first, Route second) {
+        return first.id().compareTo(second.id()) <= 0 ? first : second;
     }
 
     /**
-     * Finds the route.
+     * Returns the route of a request, or empty if none matches.
      *
-     * @param host host name without port, any case; null if the request names none
+     * @param host host name without port, in any case; null if the request has none
      * @param path path of the request, starting with a slash
      */
     public Optional<Route> find(String host, String path) {
--- a/src/main/java/org/apricotgauge/decision/routing/RoutingTable.java
+++ b/src/main/java/org/apricotgauge/decision/routing/RoutingTable.java
@@ -9,17 +9,17 @@
 import org.pcollections.PMap;
 
 /**
- * All that a request needs to be routed, at one moment; a request reads it once.
+ * A snapshot of everything that is needed to route a request; each request reads it once.
  *
  * <pre>{@code
  * RoutingTable table = reference.get();
  * Optional<Route> route = table.routes().find(host, path);
  * }</pre>
  *
- * <p>Immutable; swapped as a whole by an atomic reference (read-copy-update).
+ * <p>Immutable; replaced as a whole through an atomic reference (read-copy-update).
  */
 public final class RoutingTable {
-    /** A table without routes, as a node holds before it knows any configuration. */
+    /** A table without routes, as used by a node that has no configuration yet. */
     public static final RoutingTable EMPTY =
             new RoutingTable(
                     0, Configuration.EMPTY, RouteIndex.of(List.of()), HashTreePMap.empty());
@@ -29,7 +29,7 @@
     private final RouteIndex mRoutes;
     private final PMap<String, ServiceTable> mServices;
 
-    /** Creates a table of the parts. */
+    /** Creates a table from its parts. */
     public RoutingTable(
             long version,
             Configuration configuration,
@@ -41,12 +41,12 @@
         mServices = Checks.notNull("services", services);
     }
 
-    /** Returns the version of the configuration it was made from. */
+    /** Returns the version of the configuration from which the table was built. */
     public long version() {
         return mVersion;
     }
 
-    /** Returns the configuration it was made from. */
+    /** Returns the configuration from which the table was built. */
     public Configuration configuration() {
         return mConfiguration;
     }
@@ -56,29 +56,29 @@
         return mRoutes;
     }
 
-    /** Returns the services by name. */
+    /** Returns the tables of the services by service id. */
     public PMap<String, ServiceTable> services() {
         return mServices;
     }
 
-    /** Returns the table of one service. */
+    /** Returns the table of one service, or empty if there is no such service. */
     public Optional<ServiceTable> service(String id) {
         return Optional.ofNullable(mServices.get(id));
     }
 
-    /** Returns whether a target is there and takes new work: it is neither leaving nor gone. */
+    /** Returns whether a target accepts new requests: it is neither leaving nor removed. */
     public boolean acceptsRequests(Target target) {
         return service(target.service())
                 .flatMap(service -> service.candidate(target.id()))
                 .isPresent();
     }
 
-    /** Returns the configured target, or null if there is none of that name. */
+    /** Returns the configured target, or null if there is none with this id. */
     public Target target(String id) {
         return mConfiguration.target(id);
     }
 
-    /** Returns this table with one service replaced. */
+    /** Returns a copy of this table with one service replaced. */
     public RoutingTable withService(ServiceTable service) {
         return new RoutingTable(
                 mVersion, mConfiguration, mRoutes, mServices.plus(service.service().id(), service));
--- a/src/main/java/org/apricotgauge/decision/routing/RoutingTableFactory.java
+++ b/src/main/java/org/apricotgauge/decision/routing/RoutingTableFactory.java
@@ -15,15 +15,15 @@
 import org.pcollections.PMap;
 
 /**
- * Makes routing tables out of the configuration and of what is known of VMs and targets.
+ * Builds routing tables from the configuration and the state of VMs and targets.
  *
  * <pre>{@code
- * RoutingTable table = factory.create(previous, version, configuration, view, nowNanos);
+ * RoutingTable table = factory.create(previous, version, configuration, states, nowNanos);
  * }</pre>
  *
- * <p>Only services whose targets or settings changed are built anew, so that one patch costs its
- * own size. The factory keeps the loads and the ramps of the targets from table to table; one
- * thread at a time may use it.
+ * <p>Only services whose targets or settings changed are rebuilt, so the cost of a patch depends on
+ * its own size. The factory keeps the loads and ramps of the targets from one table to the next.
+ * Not thread-safe.
  */
 public final class RoutingTableFactory {
     private final String mEntryVm;
@@ -31,23 +31,23 @@
     private final ConcurrentMap<String, TargetLoad> mLoads = new ConcurrentHashMap<>();
     private final ConcurrentMap<String, Long> mRampStartsNanos = new ConcurrentHashMap<>();
 
-    /** Creates the factory of one entry. */
+    /** Creates the factory for one entry. */
     public RoutingTableFactory(String entryVm, String entryDomain) {
         mEntryVm = Checks.id("entryVm", entryVm);
         mEntryDomain = Checks.id("entryDomain", entryDomain);
     }
 
     /**
-     * What is known of VMs and targets beside the configuration.
+     * State of VMs and targets that is not part of the configuration.
      *
-     * @param guardOf address of the node beside a target, or null if there is none
-     * @param leaving whether a target must get no new work
-     * @param weightOf share of work a target may get, from 0 to 1
+     * @param guardOf returns the address of the guard beside a target, or null if there is none
+     * @param leaving returns whether a target is leaving and must get no new requests
+     * @param weightOf returns the factor on a target's share of requests, from 0 to 1
      */
     public record TargetStateSource(
             GuardLookup guardOf, Predicate<Target> leaving, ToDoubleFunction<Target> weightOf) {
 
-        /** Checks the parts. */
+        /** Checks the components. */
         public TargetStateSource {
             Checks.notNull("guardOf", guardOf);
             Checks.notNull("leaving", leaving);
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Finds the node beside a target. */
+    /** Finds the guard beside a target. */
     @FunctionalInterface
     public interface GuardLookup {
         /** Returns the address of the guard, or null if the target is reached directly. */
@@ -63,13 +63,14 @@
     }
 
     /**
-     * Returns the table for a new configuration; what did not change is shared with the old one.
+     * Returns the table for a new configuration; unchanged parts are shared with the previous
+     * table.
      */
     public RoutingTable create(
             RoutingTable previous,
             long version,
             Configuration configuration,
-            TargetStateSource view,
+            TargetStateSource states,
             long nowNanos) {
         Configuration old = previous.configuration();
         PMap<String, ServiceTable> services = previous.services();
@@ -79,11 +80,12 @@
             }
         }
         for (Service service : configuration.services()) {
-            boolean same =
+            boolean unchanged =
                     service == old.service(service.id())
                             && configuration.sharesTargets(old, service.id());
-            if (!same) {
-                ServiceTable table = serviceTable(previous, service, configuration, view, nowNanos);
+            if (!unchanged) {
+                ServiceTable table =
+                        serviceTable(previous, service, configuration, states, nowNanos);
                 services = services.plus(service.id(), table);
             }
         }
@@ -95,37 +97,37 @@
         return new RoutingTable(version, configuration, routes, services);
     }
 
-    /** Returns the table with one service built anew, after its targets' state changed. */
+    /** Returns the table with one service rebuilt, after the state of its targets changed. */
     public RoutingTable refresh(
-            RoutingTable previous, String serviceId, TargetStateSource view, long nowNanos) {
+            RoutingTable previous, String serviceId, TargetStateSource states, long nowNanos) {
         Service service = previous.configuration().service(serviceId);
         if (service == null) {
             return previous;
         }
         return previous.withService(
-                serviceTable(previous, service, previous.configuration(), view, nowNanos));
+                serviceTable(previous, service, previous.configuration(), states, nowNanos));
     }
 
     private ServiceTable serviceTable(
             RoutingTable previous,
             Service service,
             Configuration configuration,
-            TargetStateSource view,
+            TargetStateSource states,
             long nowNanos) {
-        boolean known = previous.services().containsKey(service.id());
+        boolean serviceExisted = previous.services().containsKey(service.id());
         Collection<Target> targets = configuration.targetsOf(service.id());
         List<Candidate> candidates = new ArrayList<>(targets.size());
         for (Target target : targets) {
-            boolean isNew = known && !mLoads.containsKey(target.id());
+            boolean isNew = serviceExisted && !mLoads.containsKey(target.id());
             if (isNew) {
                 mRampStartsNanos.put(target.id(), nowNanos);
             }
             candidates.add(
                     new Candidate(
                             target,
-                            view.guardOf().guardOf(target),
-                            view.leaving().test(target),
-                            view.weightOf().applyAsDouble(target),
+                            states.guardOf().guardOf(target),
+                            states.leaving().test(target),
+                            states.weightOf().applyAsDouble(target),
                             mRampStartsNanos.getOrDefault(target.id(), Candidate.NO_RAMP),
                             mLoads.computeIfAbsent(target.id(), id -> new TargetLoad())));
         }
--- a/src/main/java/org/apricotgauge/decision/routing/ServiceTable.java
+++ b/src/main/java/org/apricotgauge/decision/routing/ServiceTable.java
@@ -9,18 +9,19 @@
 import org.apricotgauge.model.Service;
 
 /**
- * One service as one entry routes it: all targets, and the subset the entry usually works with.
+ * The targets of one service for one entry: all of them, and the subset that the entry normally
+ * uses.
  *
  * <pre>{@code
  * ServiceTable table = ServiceTable.of(service, candidates, "vm-17", "domain-a");
  * }</pre>
  *
- * <p>The subset is the same at every building (rendezvous hashing of entry and target, Thaler and
- * Ravishankar 1998): half from the entry's own failure domain, half from elsewhere. It keeps the
- * connections between thousands of entries and one guard few. Immutable.
+ * <p>The subset is deterministic (rendezvous hashing of entry and target, Thaler and Ravishankar
+ * 1998): one half from the entry's own failure domain, the other half from elsewhere. It limits the
+ * number of connections between thousands of entries and one guard. Immutable.
  */
 public final class ServiceTable {
-    /** Targets that one entry works with, of the own failure domain and of others each. */
+    /** Maximum size of each half of the subset: own failure domain, and all others. */
     public static final int SUBSET_HALF_SIZE = 10;
 
     private final Service mService;
@@ -37,10 +38,10 @@
     }
 
     /**
-     * Builds the table.
+     * Builds a table.
      *
      * @param service the service
-     * @param candidates all its targets
+     * @param candidates all targets of the service
      * @param entryVm VM of the entry
      * @param entryDomain failure domain of the entry
      */
@@ -80,19 +81,21 @@
         return mAll;
     }
 
-    /** Returns the candidate of a target that is not leaving, ejected or not. */
+    /**
+     * Returns the candidate of a target, ejected or not; empty if there is none or it is leaving.
+     */
     public Optional<Candidate> candidate(String targetId) {
         return mAll.stream()
-                .filter(one -> one.target().id().equals(targetId) && !one.leaving())
+                .filter(c -> c.target().id().equals(targetId) && !c.leaving())
                 .findFirst();
     }
 
-    /** Returns the eligible targets of the subset that stand in the entry's failure domain. */
+    /** Returns the eligible targets of the subset in the entry's own failure domain. */
     public List<Candidate> local() {
         return mLocal;
     }
 
-    /** Returns the eligible targets of the subset that stand elsewhere. */
+    /** Returns the eligible targets of the subset in other failure domains. */
     public List<Candidate> remote() {
         return mRemote;
     }
--- a/src/main/java/org/apricotgauge/decision/routing/SplitPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/routing/SplitPolicy.java
@@ -6,21 +6,22 @@
 import org.apricotgauge.model.ServiceShare;
 
 /**
- * Chooses which of a route's services answers a request, in proportion to their weights.
+ * Chooses the service of a route that serves a request, in proportion to the weights of the split.
  *
  * <pre>{@code
  * String service = SplitPolicy.choose(route, ThreadLocalRandom.current());
  * }</pre>
  *
- * <p>The choice is made once for a request and never looks at load: work that finds no room in its
- * part is refused there. Moved to another part it would upset the shares that the operator set, and
- * a trial with a tenth of the traffic would get all of it once the main service is full.
+ * <p>The choice is made once for each request and ignores load: a request that exceeds the capacity
+ * of its service is rejected there. If it moved to another service, the shares would no longer be
+ * those that the operator set, and a trial with a tenth of the traffic would get all of it once the
+ * main service is full.
  */
 public final class SplitPolicy {
 
     private SplitPolicy() {}
 
-    /** Returns the service that answers one request of the route. */
+    /** Returns the id of the service that serves one request of the route. */
     public static String choose(Route route, RandomGenerator random) {
         List<ServiceShare> shares = route.shares();
         int total = shares.stream().mapToInt(ServiceShare::weight).sum();
--- a/src/main/java/org/apricotgauge/decision/routing/TargetLoad.java
+++ b/src/main/java/org/apricotgauge/decision/routing/TargetLoad.java
@@ -8,18 +8,19 @@
 import org.apricotgauge.model.StartLimit;
 
 /**
- * The load of one target as one entry sees it; survives changes of the routing table.
+ * The load of one target as observed by one entry; kept across changes of the routing table.
  *
  * <pre>{@code
  * load.begin();
  * try { … } finally { load.end(); }
  * }</pre>
  *
- * <p>Counts the entry's own requests in flight and remembers what the guard last reported. With
- * thousands of entries each sees a sliver of the traffic; the guard sees all of it. Thread-safe.
+ * <p>Counts the entry's own requests in flight and stores the last report of the guard. With
+ * thousands of entries, each one observes a small part of the traffic, while the guard observes all
+ * of it. Thread-safe.
  */
 public final class TargetLoad {
-    /** A report says nothing any more after this long. */
+    /** Time in which the influence of a load report falls to 0. */
     private static final long REPORT_LIFETIME_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private static final double PERMILLE = 1_000.0;
@@ -44,37 +45,39 @@
         mInFlight.decrementAndGet();
     }
 
-    /** Returns the entry's own requests in flight. */
+    /** Returns the number of the entry's own requests in flight. */
     public int inFlight() {
         return mInFlight.get();
     }
 
     /**
-     * Takes the load that the guard told with an answer.
+     * Records the load that the guard reported with an answer.
      *
-     * @param loadPermille requests running and waiting, in permille of the slots
-     * @param nowNanos time of the report
+     * @param loadPermille requests running and queued, in permille of the slots
+     * @param nowNanos time of the report, in nanoseconds
      */
     public void reportLoad(int loadPermille, long nowNanos) {
         mReport = new Report(loadPermille, nowNanos);
     }
 
-    /** Takes how many requests a second the target takes; null if it names no limit. */
+    /** Sets the rate limit that the target requests; null if it requests none. */
     public void setStartLimit(StartLimit limit) {
         mStartLimit = limit;
     }
 
-    /** Returns how many requests a second the target takes; nothing if it names no limit. */
+    /** Returns the rate limit that the target requests; empty if it requests none. */
     public Optional<StartLimit> startLimit() {
         return Optional.ofNullable(mStartLimit);
     }
 
     /**
-     * Counts a request that goes to the target past any guard, if the target's limit lets it; with
-     * nobody to count for all nodes, each keeps to its part.
+     * Counts a request that is sent to the target without a guard, if the rate limit of the target
+     * permits it. As no guard counts the requests of all nodes, each node uses an equal part of the
+     * limit.
      *
-     * @param nodes how many nodes there are
-     * @param nowMillis present time
+     * @param nodes number of nodes
+     * @param nowMillis current time, in milliseconds
+     * @return whether the request may be sent
      */
     public boolean tryStartDirect(int nodes, long nowMillis) {
         StartLimit limit = mStartLimit;
@@ -87,37 +90,40 @@
         }
     }
 
-    /** Takes how likely the target is to be sick, as its guard told. */
-    public void reportDegradation(DegradationEstimate health) {
-        mDegradationEstimate = health;
+    /** Sets the degradation estimate that the guard reported. */
+    public void reportDegradation(DegradationEstimate estimate) {
+        mDegradationEstimate = estimate;
     }
 
     /**
-     * Takes in that the target, or the way to it, has failed this entry.
+     * Records a failure of the target or of the path to it.
      *
-     * @param sick probability of another failure right after it, from 0 to 1
-     * @param nowMillis present time
+     * @param failureProbability probability of another failure immediately afterwards, from 0 to 1
+     * @param nowMillis current time, in milliseconds
      */
-    public void recordFailure(double sick, long nowMillis) {
-        mDegradationEstimate = mDegradationEstimate.withMinimum(sick, nowMillis);
+    public void recordFailure(double failureProbability, long nowMillis) {
+        mDegradationEstimate = mDegradationEstimate.withMinimum(failureProbability, nowMillis);
     }
 
-    /** Returns the probability that the target is sick now. */
+    /** Returns the probability that the target is degraded now. */
     public double degradationProbability(long nowNanos) {
         return mDegradationEstimate.probabilityAt(TimeUnit.NANOSECONDS.toMillis(nowNanos));
     }
 
-    /** Returns how much likelier than usual the target is to be sick now; less than 0 if less. */
+    /**
+     * Returns the probability that the target is degraded now, minus its baseline; may be negative.
+     */
     public double degradationAboveBaseline(long nowNanos) {
-        DegradationEstimate health = mDegradationEstimate;
-        return health.probabilityAt(TimeUnit.NANOSECONDS.toMillis(nowNanos)) - health.baseline();
+        DegradationEstimate estimate = mDegradationEstimate;
+        return estimate.probabilityAt(TimeUnit.NANOSECONDS.toMillis(nowNanos))
+                - estimate.baseline();
     }
 
     /**
-     * Returns the load as a share of the slots; 1.0 is all slots busy.
+     * Returns the load per slot; 1.0 if all slots are busy.
      *
-     * @param slots slots of the target
-     * @param nowNanos present time
+     * @param slots number of slots of the target
+     * @param nowNanos current time, in nanoseconds
      */
     public double loadPerSlot(int slots, long nowNanos) {
         Report report = mReport;
--- a/src/main/java/org/apricotgauge/decision/routing/package-info.java
+++ b/src/main/java/org/apricotgauge/decision/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which service answers a request, and which of its targets gets it. */
+/** Routing of requests: choice of the route, the service and the target. */
 package org.apricotgauge.decision.routing;
--- a/src/main/java/org/apricotgauge/time/ManualTicker.java
+++ b/src/main/java/org/apricotgauge/time/ManualTicker.java
@@ -4,14 +4,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A ticker that moves only when told to, for tests and for simulations of policies.
+ * A ticker that advances only on request, for tests and simulations.
  *
  * <pre>{@code
  * ManualTicker ticker = new ManualTicker();
  * ticker.advanceMillis(250);
  * }</pre>
  *
- * <p>Safe to share between threads.
+ * <p>Thread-safe.
  */
 public final class ManualTicker implements Ticker {
     private final AtomicLong mNowNanos = new AtomicLong();
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Moves the ticker forward.
+     * Advances the ticker.
      *
-     * @param millis how far, in milliseconds; not negative
+     * @param millis the amount, in milliseconds; not negative
      * @throws IllegalArgumentException if {@code millis} is negative
      */
     public void advanceMillis(long millis) {
--- a/src/main/java/org/apricotgauge/time/SuspendAwareClock.java
+++ b/src/main/java/org/apricotgauge/time/SuspendAwareClock.java
@@ -5,18 +5,18 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Time that never stands still: it also counts what passed while the VM was suspended.
+ * A monotonic clock that also counts the time during which the VM was suspended.
  *
  * <pre>{@code
- * ElapsedClock clock = new ElapsedClock(Ticker.system(), System::currentTimeMillis);
+ * SuspendAwareClock clock = new SuspendAwareClock(Ticker.system(), System::currentTimeMillis);
  * long ageMillis = clock.millis() - confirmedMillis;
  * }</pre>
  *
- * <p>A suspended VM's steady clock stands still, so that an age measured by it is too young by the
- * whole suspension, and whoever is told it believes so too. The time of day goes on; but it may be
- * set. So between two readings whichever of the two went further counts: a suspension is never
- * missed, a step back of the time of day changes nothing, and a step ahead makes ages too great,
- * which costs a question. Thread-safe.
+ * <p>The monotonic clock of a VM stops during a suspension, so an age measured by it, and reported
+ * to other nodes, is too low by the whole suspension. The wall clock continues, but it may be set.
+ * Between two readings, the larger advance of the two clocks therefore counts: a suspension is
+ * never missed, a step back of the wall clock has no effect, and a step forward makes ages too
+ * high, which costs one query. Thread-safe.
  */
 public final class SuspendAwareClock {
     private final Ticker mTicker;
@@ -24,38 +24,39 @@
     private final AtomicReference<Reading> mLast;
 
     private record Reading(long monotonicMillis, long wallMillis, long elapsedMillis) {
-        Reading advanceTo(long nowSteadyMillis, long nowWallMillis) {
-            long steadyPassedMillis = Math.max(0, nowSteadyMillis - monotonicMillis);
-            long wallPassedMillis = nowWallMillis - wallMillis;
-            // Both clocks count whole milliseconds from different starts.
-            boolean wasSuspended = wallPassedMillis > steadyPassedMillis + 1;
-            long passedMillis = wasSuspended ? wallPassedMillis : steadyPassedMillis;
+        Reading advanceTo(long nowMonotonicMillis, long nowWallMillis) {
+            long monotonicElapsedMillis = Math.max(0, nowMonotonicMillis - monotonicMillis);
+            long wallElapsedMillis = nowWallMillis - wallMillis;
+            // Both clocks are truncated to milliseconds at different phases: they may differ by 1.
+            boolean wasSuspended = wallElapsedMillis > monotonicElapsedMillis + 1;
+            long advanceMillis = wasSuspended ? wallElapsedMillis : monotonicElapsedMillis;
             return new Reading(
-                    Math.max(monotonicMillis, nowSteadyMillis),
+                    Math.max(monotonicMillis, nowMonotonicMillis),
                     nowWallMillis,
-                    elapsedMillis + passedMillis);
+                    elapsedMillis + advanceMillis);
         }
     }
 
     /**
      * Creates a clock.
      *
-     * @param ticker time of intervals
-     * @param wallMillis time of day, in milliseconds
+     * @param ticker monotonic clock
+     * @param wallMillis wall clock, in milliseconds
      */
     public SuspendAwareClock(Ticker ticker, LongSupplier wallMillis) {
         mTicker = Checks.notNull("ticker", ticker);
         mWallMillis = Checks.notNull("wallMillis", wallMillis);
-        long steadyMillis = ticker.millis();
+        long monotonicMillis = ticker.millis();
         mLast =
                 new AtomicReference<>(
-                        new Reading(steadyMillis, wallMillis.getAsLong(), steadyMillis));
+                        new Reading(monotonicMillis, wallMillis.getAsLong(), monotonicMillis));
     }
 
-    /** Returns the time that has passed since some moment, in milliseconds. */
+    /** Returns the current reading in milliseconds; its origin is arbitrary. */
     public long millis() {
-        long steadyMillis = mTicker.millis();
+        long monotonicMillis = mTicker.millis();
         long wallMillis = mWallMillis.getAsLong();
-        return mLast.updateAndGet(last -> last.advanceTo(steadyMillis, wallMillis)).elapsedMillis();
+        return mLast.updateAndGet(last -> last.advanceTo(monotonicMillis, wallMillis))
+                .elapsedMillis();
     }
 }
--- a/src/main/java/org/apricotgauge/time/Ticker.java
+++ b/src/main/java/org/apricotgauge/time/Ticker.java
@@ -3,26 +3,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A monotonic clock for intervals; injected so that tests choose the time.
+ * A monotonic clock for measuring intervals; injected so that tests control the time.
  *
  * <pre>{@code
  * long startNanos = ticker.nanos();
  * }</pre>
  *
- * <p>Readings of one ticker may be subtracted from each other; they mean nothing across processes.
+ * <p>Only differences between readings of the same ticker are meaningful, within one process.
  */
 @FunctionalInterface
 public interface Ticker {
 
-    /** Returns the present reading in nanoseconds; its origin is arbitrary. */
+    /** Returns the current reading in nanoseconds; its origin is arbitrary. */
     long nanos();
 
-    /** Returns the present reading in whole milliseconds. */
+    /** Returns the current reading in whole milliseconds. */
     default long millis() {
         return TimeUnit.NANOSECONDS.toMillis(nanos());
     }
 
-    /** Returns the ticker of the running machine. */
+    /** Returns the ticker of the system. */
     static Ticker system() {
         return System::nanoTime;
     }
--- a/src/main/java/org/apricotgauge/time/package-info.java
+++ b/src/main/java/org/apricotgauge/time/package-info.java
@@ -1,2 +1,2 @@
-/** Injected time: no decision reads a clock of its own, so that every test picks its own time. */
+/** Injected clocks: decisions read no system clock, so that every test controls the time. */
 package org.apricotgauge.time;
--- a/src/test/java/org/apricotgauge/decision/admission/AdmissionQueueTest.java
+++ b/src/test/java/org/apricotgauge/decision/admission/AdmissionQueueTest.java
@@ -20,23 +20,25 @@
     @Test
     void rejectsTicketThatCannotMeetItsDeadlineWithRetryAfter() {
         fillSlots();
-        AdmissionDecision offer = mQueue.offer(ticket("m", Priority.NORMAL, 12), 0);
-        assertThat(offer)
+        AdmissionDecision decision = mQueue.offer(ticket("m", Priority.NORMAL, 12), 0);
+        assertThat(decision)
                 .isInstanceOfSatisfying(
                         AdmissionDecision.Rejected.class,
-                        refused -> {
-                            assertThat(refused.rejection().reason())
+                        rejected -> {
+                            assertThat(rejected.rejection().reason())
                                     .isEqualTo(RejectionReason.DEADLINE_TOO_SHORT);
-                            assertThat(refused.rejection().retryAfterMillis()).isPositive();
+                            assertThat(rejected.rejection().retryAfterMillis()).isPositive();
                         });
     }
 
-    /** Guards against requests that wait for a limited target though another could serve them. */
+    /**
+     * Guards against requests that queue at a rate-limited target though another could serve them.
+     */
     @Test
     void rateLimitedTargetRejectsTicketThatMustNotWaitWithRetryAfter() {
         mQueue.setStartLimit(1, 0);
 
-        Ticket hasty =
+        Ticket impatient =
                 new Ticket(
                         mNextId++,
                         new Member("m", 1),
@@ -46,13 +48,13 @@
                         QueueingPolicy.NO_WAIT,
                         10_000,
                         10_000);
-        assertThat(mQueue.offer(hasty, 0))
+        assertThat(mQueue.offer(impatient, 0))
                 .isInstanceOfSatisfying(
                         AdmissionDecision.Rejected.class,
-                        refused -> {
-                            assertThat(refused.rejection().reason())
+                        rejected -> {
+                            assertThat(rejected.rejection().reason())
                                     .isEqualTo(RejectionReason.BUSY);
-                            assertThat(refused.rejection().retryAfterMillis()).isEqualTo(1_000);
+                            assertThat(rejected.rejection().retryAfterMillis()).isEqualTo(1_000);
                         });
         assertThat(mQueue.offer(ticket("m", Priority.NORMAL, 900), 0))
                 .isInstanceOf(AdmissionDecision.Rejected.class);
@@ -78,22 +80,22 @@
     @Test
     void removingStartLimitStartsQueuedTickets() {
         mQueue.setStartLimit(1, 0);
-        Ticket waiting = ticket("m", Priority.NORMAL, 10_000);
-        mQueue.offer(waiting, 0);
+        Ticket queued = ticket("m", Priority.NORMAL, 10_000);
+        mQueue.offer(queued, 0);
 
-        assertThat(mQueue.removeStartLimit(10).admitted()).containsExactly(waiting);
+        assertThat(mQueue.removeStartLimit(10).admitted()).containsExactly(queued);
     }
 
     @Test
     void rejectsQueuedTicketWhoseDeadlineIsTooNear() {
         List<Ticket> running = fillSlots();
-        Ticket waiting = ticket("m", Priority.NORMAL, 100);
-        assertThat(mQueue.offer(waiting, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+        Ticket queued = ticket("m", Priority.NORMAL, 100);
+        assertThat(mQueue.offer(queued, 0)).isInstanceOf(AdmissionDecision.Queued.class);
         assertThat(mQueue.expire(50)).isEqualTo(QueueChanges.NONE);
         QueueChanges changes =
                 mQueue.release(running.get(0), RunResult.ANSWERED, SERVICE_MICROS, 99);
         assertThat(changes.admitted()).isEmpty();
-        assertThat(changes.rejected()).extracting(Rejection::ticket).containsExactly(waiting);
+        assertThat(changes.rejected()).extracting(Rejection::ticket).containsExactly(queued);
         assertThat(mQueue.inFlight()).isEqualTo(1);
     }
 
@@ -110,7 +112,7 @@
                         AdmissionDecision.Queued.class,
                         queued ->
                                 assertThat(queued.displaced())
-                                        .extracting(refusal -> refusal.ticket().member().id())
+                                        .extracting(rejection -> rejection.ticket().member().id())
                                         .containsExactly("greedy"));
         assertThat(mQueue.queued()).isEqualTo(6);
     }
@@ -149,20 +151,20 @@
                 running.add(ticket);
             }
         }
-        // The older system takes one of the three slots for the first second.
+        // Another system uses one of the three slots for the first second.
         int sheds = 0;
         while (nowMillis < 2_000) {
             nowMillis += 10;
             boolean shed = nowMillis < 1_000 && running.size() > 2;
             sheds += shed ? 1 : 0;
             RunResult result = shed ? RunResult.SHED : RunResult.ANSWERED;
-            // The one that came last finds no slot.
+            // The target sheds the request that was started last.
             Ticket done = running.remove(shed ? running.size() - 1 : 0);
             running.addAll(queue.release(done, result, SERVICE_MICROS, nowMillis).admitted());
             queue.offer(ticket("m", Priority.NORMAL, 1_000_000), nowMillis);
             assertThat(queue.concurrencyLimit()).isEqualTo(shed ? 2 : queue.inFlight());
         }
-        // Tries double their distance: 50, 100, 200, 400 ms, so five or so in the second.
+        // The growth delay doubles: 50, 100, 200, 400 ms, so about five attempts in the second.
         assertThat(sheds).isBetween(3, 6);
         assertThat(queue.concurrencyLimit()).isEqualTo(3);
     }
@@ -178,9 +180,9 @@
 
     @Test
     void estimatesServiceTimePerKindOfWorkNotPerPriority() {
-        // Reports of 600 ms and lookups of 60 ms share a class. A lookup with 600 ms left comes
-        // while all slots are busy; judged by the time that reports need it would be refused, and
-        // the booking that waits for it would fail.
+        // Reports of 600 ms and lookups of 60 ms share a priority class. A lookup with 600 ms left
+        // arrives while all slots are busy. With one estimate for the class it would be rejected,
+        // and the booking that waits for it would fail.
         AdmissionQueue queue = new AdmissionQueue(config(2, 6));
         for (int i = 0; i < 20; i++) {
             serve(queue, "report", 600_000);
@@ -213,23 +215,23 @@
     @Test
     void rejectsTicketThatMustNotWaitWhileNoSlotIsFree() {
         List<Ticket> running = fillSlots();
-        Ticket looking = ticketWithPolicy(QueueingPolicy.NO_WAIT, 10_000);
-        assertThat(mQueue.offer(looking, 0))
+        Ticket noWait = ticketWithPolicy(QueueingPolicy.NO_WAIT, 10_000);
+        assertThat(mQueue.offer(noWait, 0))
                 .isInstanceOfSatisfying(
                         AdmissionDecision.Rejected.class,
-                        refused ->
-                                assertThat(refused.rejection().reason())
+                        rejected ->
+                                assertThat(rejected.rejection().reason())
                                         .isEqualTo(RejectionReason.BUSY));
 
         mQueue.release(running.get(0), RunResult.ANSWERED, SERVICE_MICROS, 10);
 
-        assertThat(mQueue.offer(looking, 10)).isInstanceOf(AdmissionDecision.Admitted.class);
+        assertThat(mQueue.offer(noWait, 10)).isInstanceOf(AdmissionDecision.Admitted.class);
     }
 
     @Test
     void exclusiveTargetThatShedsKeepsItsConcurrencyLimit() {
-        // A broken target sheds half of its requests with slots free. Were its limit to step down,
-        // the other half would wait for one slot of three, and run out of time.
+        // A faulty target sheds half of its requests while slots are free. If its limit decreased,
+        // the other half would queue for one slot of three and miss its deadlines.
         AdmissionQueue queue =
                 new AdmissionQueue(
                         new AdmissionConfig(
@@ -243,41 +245,41 @@
         assertThat(queue.concurrencyLimit()).isEqualTo(3);
     }
 
-    private void serve(AdmissionQueue queue, String work, long serviceMicros) {
-        Ticket ticket = ticketOfKind(work, 100_000);
+    private void serve(AdmissionQueue queue, String workKind, long serviceMicros) {
+        Ticket ticket = ticketOfKind(workKind, 100_000);
         queue.offer(ticket, 0);
         queue.release(ticket, RunResult.ANSWERED, serviceMicros, 0);
     }
 
-    private Ticket ticketOfKind(String work, long deadlineMillis) {
+    private Ticket ticketOfKind(String workKind, long deadlineMillis) {
         return new Ticket(
                 mNextId++,
                 new Member("m", 1),
                 Priority.NORMAL,
-                work,
+                workKind,
                 false,
                 QueueingPolicy.MAY_WAIT,
                 deadlineMillis,
                 deadlineMillis);
     }
 
-    private Ticket ticketWithPolicy(QueueingPolicy patience, long usefulUntilMillis) {
+    private Ticket ticketWithPolicy(QueueingPolicy queueingPolicy, long softDeadlineMillis) {
         return new Ticket(
                 mNextId++,
                 new Member("m", 1),
                 Priority.NORMAL,
                 "work",
                 false,
-                patience,
-                usefulUntilMillis,
+                queueingPolicy,
+                softDeadlineMillis,
                 100_000);
     }
 
     @Test
     void servesNestedCallBeforeOtherTicketsOfItsClass() {
-        // Orders wait at a busy target, one of them with little time left, when a lookup comes that
-        // an order which runs elsewhere needs. It gets the next slot: that order holds a slot
-        // meanwhile, and fails if its lookup does.
+        // Orders are queued at a busy target, one of them with little time left, when a lookup
+        // arrives for an order that is running elsewhere. The lookup gets the next slot, because
+        // that order holds a slot meanwhile and fails if its lookup fails.
         List<Ticket> running = fillSlots();
         for (int i = 0; i < 4; i++) {
             mQueue.offer(ticket("m", Priority.URGENT, 10_000), 0);
@@ -304,26 +306,27 @@
 
     @Test
     void servesTicketThatMeetsItsSoftDeadlineFirst() {
-        // One slot, served in the order of arrival, would make both late. The first can no longer
-        // be in time and waits to its deadline; the second, which came later, can, and goes first.
+        // In the order of arrival, both would be late. The first can no longer meet its soft
+        // deadline and waits until its deadline; the second, which arrived later, can, and is
+        // served first.
         AdmissionQueue queue = new AdmissionQueue(config(1, 6));
         Ticket running = ticket("m", Priority.NORMAL, 100_000);
         Ticket late = ticketWithPolicy(QueueingPolicy.MAY_WAIT, 15);
-        Ticket useful = ticketWithPolicy(QueueingPolicy.WHILE_USEFUL, 500);
+        Ticket onTime = ticketWithPolicy(QueueingPolicy.WHILE_USEFUL, 500);
         queue.offer(running, 0);
         assertThat(queue.offer(late, 0)).isInstanceOf(AdmissionDecision.Queued.class);
-        assertThat(queue.offer(useful, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+        assertThat(queue.offer(onTime, 0)).isInstanceOf(AdmissionDecision.Queued.class);
 
         QueueChanges changes = queue.release(running, RunResult.ANSWERED, SERVICE_MICROS, 10);
 
-        assertThat(changes.admitted()).containsExactly(useful);
+        assertThat(changes.admitted()).containsExactly(onTime);
         assertThat(queue.queued()).isEqualTo(1);
     }
 
     @Test
     void rejectsLateTicketBehindFullRoundOfTickets() {
-        // A busy target has a round of useful work waiting, and more comes all the time. A late
-        // request would be overtaken until its deadline; it is told at once to look elsewhere.
+        // A busy target has one round of requests queued, and more keep arriving that overtake a
+        // late one until its deadline. So it is rejected at once and can try another target.
         List<Ticket> running = fillSlots();
         assertThat(mQueue.offer(ticketWithPolicy(QueueingPolicy.MAY_WAIT, 0), 0))
                 .isInstanceOf(AdmissionDecision.Queued.class);
@@ -333,8 +336,8 @@
         assertThat(mQueue.offer(ticketWithPolicy(QueueingPolicy.MAY_WAIT, 0), 0))
                 .isInstanceOfSatisfying(
                         AdmissionDecision.Rejected.class,
-                        refused ->
-                                assertThat(refused.rejection().reason())
+                        rejected ->
+                                assertThat(rejected.rejection().reason())
                                         .isEqualTo(RejectionReason.BUSY));
         assertThat(mQueue.offer(ticketWithPolicy(QueueingPolicy.MAY_WAIT, 500), 0))
                 .isInstanceOf(AdmissionDecision.Queued.class);
@@ -344,19 +347,19 @@
     @Test
     void rejectsQueuedTicketThatMissesItsSoftDeadline() {
         List<Ticket> running = fillSlots();
-        Ticket waiting = ticketWithPolicy(QueueingPolicy.WHILE_USEFUL, 100);
-        Ticket staying = ticketWithPolicy(QueueingPolicy.MAY_WAIT, 100);
-        assertThat(mQueue.offer(waiting, 0)).isInstanceOf(AdmissionDecision.Queued.class);
-        assertThat(mQueue.offer(staying, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+        Ticket whileUseful = ticketWithPolicy(QueueingPolicy.WHILE_USEFUL, 100);
+        Ticket mayWait = ticketWithPolicy(QueueingPolicy.MAY_WAIT, 100);
+        assertThat(mQueue.offer(whileUseful, 0)).isInstanceOf(AdmissionDecision.Queued.class);
+        assertThat(mQueue.offer(mayWait, 0)).isInstanceOf(AdmissionDecision.Queued.class);
 
         QueueChanges changes = mQueue.expire(95);
 
-        assertThat(changes.rejected()).extracting(Rejection::ticket).containsExactly(waiting);
+        assertThat(changes.rejected()).extracting(Rejection::ticket).containsExactly(whileUseful);
         assertThat(changes.rejected().get(0).reason()).isEqualTo(RejectionReason.BUSY);
         assertThat(mQueue.offer(ticketWithPolicy(QueueingPolicy.WHILE_USEFUL, 100), 95))
                 .isInstanceOf(AdmissionDecision.Rejected.class);
         QueueChanges freed = mQueue.release(running.get(0), RunResult.ANSWERED, SERVICE_MICROS, 96);
-        assertThat(freed.admitted()).containsExactly(staying);
+        assertThat(freed.admitted()).containsExactly(mayWait);
     }
 
     @Test
--- a/src/test/java/org/apricotgauge/decision/admission/StartRateLimiterTest.java
+++ b/src/test/java/org/apricotgauge/decision/admission/StartRateLimiterTest.java
@@ -65,32 +65,32 @@
         assertThatThrownBy(() -> mLimiter.setLimit(0, 0)).hasMessageContaining("perSecond");
     }
 
-    /** Guards against bursts after idle times, pauses and changes of the limit. */
+    /** Guards against bursts after idle periods, pauses and changes of the limit. */
     @Property(seed = "36", tries = 200)
     void startsInAnyWindowStayBelowOneAndAHalfTimesTheLimit(
             @ForAll long seed, @ForAll @DoubleRange(min = 0.2, max = 40) double perSecond) {
         SplittableRandom random = new SplittableRandom(seed);
-        StartRateLimiter pace = new StartRateLimiter();
+        StartRateLimiter limiter = new StartRateLimiter();
         long[] startedMillis = new long[20_000];
         int started = 0;
         long nowMillis = 0;
-        pace.setLimit(perSecond, nowMillis);
+        limiter.setLimit(perSecond, nowMillis);
         for (int step = 0; step < 4_000 && started < startedMillis.length; step++) {
             nowMillis += random.nextInt(10) == 0 ? random.nextInt(3_000) : random.nextInt(20);
             if (random.nextInt(50) == 0) {
-                pace.setLimit(perSecond, nowMillis);
+                limiter.setLimit(perSecond, nowMillis);
             }
-            if (pace.tryStart(nowMillis)) {
+            if (limiter.tryStart(nowMillis)) {
                 startedMillis[started++] = nowMillis;
             }
         }
 
-        double most = 1.5 * perSecond * WINDOW_MILLIS / 1_000 + 5;
+        double maxStarts = 1.5 * perSecond * WINDOW_MILLIS / 1_000 + 5;
         for (int first = 0, last = 0; last < started; last++) {
             while (startedMillis[last] - startedMillis[first] >= WINDOW_MILLIS) {
                 first++;
             }
-            assertThat(last - first + 1).isLessThanOrEqualTo((int) most);
+            assertThat(last - first + 1).isLessThanOrEqualTo((int) maxStarts);
         }
     }
 }
--- a/src/test/java/org/apricotgauge/decision/routing/BalancingPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/routing/BalancingPolicyTest.java
@@ -88,21 +88,21 @@
 
     @Test
     void choosesRemoteTargetWhenOwnFailureDomainIsBusier() {
-        Candidate near = warm("near", "here", 1);
-        ServiceTable table = table(near, warm("far", "there", 1));
+        Candidate local = warm("near", "here", 1);
+        ServiceTable table = table(local, warm("far", "there", 1));
         assertThat(draw(table, 0)).containsOnlyKeys("near");
-        near.load().begin();
-        near.load().begin();
+        local.load().begin();
+        local.load().begin();
         assertThat(draw(table, 0)).containsOnlyKeys("near");
-        near.load().begin();
+        local.load().begin();
         assertThat(draw(table, 0)).containsOnlyKeys("far");
     }
 
     @Test
     void guardLoadReportCountsWhileFresh() {
-        Candidate near = warm("near", "here", 1);
-        ServiceTable table = table(near, warm("far", "there", 1));
-        near.load().reportLoad(1_500, 0);
+        Candidate local = warm("near", "here", 1);
+        ServiceTable table = table(local, warm("far", "there", 1));
+        local.load().reportLoad(1_500, 0);
         assertThat(draw(table, 0)).containsOnlyKeys("far");
         assertThat(draw(table, 3_000_000_000L)).containsOnlyKeys("near");
     }
@@ -127,8 +127,8 @@
         Optional<Candidate> choice = BalancingPolicy.choose(table, triedIds, mRandom, 0);
         assertThat(choice.isPresent()).isEqualTo(possible);
         choice.ifPresent(
-                one ->
-                        assertThat(one.isEligible() && !triedIds.contains(one.target().id()))
+                chosen ->
+                        assertThat(chosen.isEligible() && !triedIds.contains(chosen.target().id()))
                                 .isTrue());
     }
 }
--- a/src/test/java/org/apricotgauge/decision/routing/RouteIndexTest.java
+++ b/src/test/java/org/apricotgauge/decision/routing/RouteIndexTest.java
@@ -56,7 +56,7 @@
                         .map(RouteIndexTest::lengthOf)
                         .max(Integer::compare);
         Optional<Integer> found =
-                RouteIndex.of(routes).find("h", path).map(one -> lengthOf(one.pathPrefix()));
+                RouteIndex.of(routes).find("h", path).map(route -> lengthOf(route.pathPrefix()));
         assertThat(found).isEqualTo(expected);
     }
 
--- a/src/test/java/org/apricotgauge/time/SuspendAwareClockTest.java
+++ b/src/test/java/org/apricotgauge/time/SuspendAwareClockTest.java
@@ -12,9 +12,9 @@
 
     @Test
     void countsSuspensionThatMonotonicClockMisses() {
-        // A VM is suspended for 1.2 s, shorter than what counts as a pause. Its node then told
-        // others that its view of the site was 0.1 s old; they took it for theirs and sent work to
-        // a target that had left 1.3 s ago.
+        // A VM is suspended for 1.2 s, which is too short to be detected as a pause. With a plain
+        // monotonic clock, its node reported an age of 0.1 s for its view of the site; other nodes
+        // adopted that view and sent requests to a target that had left 1.3 s before.
         long before = mClock.millis();
 
         mTicker.advanceMillis(100);
