--- a/src/main/java/org/apricotgauge/decision/RendezvousOrder.java
+++ b/src/main/java/org/apricotgauge/decision/RendezvousOrder.java
@@ -7,13 +7,13 @@
 import java.util.function.Function;
 
 /**
- * An order of members that every node works out alike, whatever order it knows them in.
+ * Orders members by rendezvous hashing, so that every node computes the same order.
  *
  * <pre>{@code
  * List<Vm> order = RendezvousOrder.of("zone-a", vms, Vm::id);
  * }</pre>
  *
- * <p>A member that comes or goes leaves the order of the others as it is.
+ * <p>Adding or removing a member does not change the relative order of the others.
  */
 public final class RendezvousOrder {
     private record Ranked<T>(T member, String name, long hash) {}
@@ -21,11 +21,11 @@
     private RendezvousOrder() {}
 
     /**
-     * Returns the members in their order.
+     * Returns the members in rendezvous order, which does not depend on the order passed in.
      *
-     * @param group what the order is for; another group has another order
-     * @param members the members, each once
-     * @param nameOf name of a member, the same on every node
+     * @param group name of the order; different groups have different orders
+     * @param members the members, without duplicates
+     * @param nameOf returns the name of a member, which must be the same on every node
      */
     public static <T> List<T> of(String group, Collection<T> members, Function<T, String> nameOf) {
         return members.stream()
--- a/src/main/java/org/apricotgauge/decision/TokenBucket.java
+++ b/src/main/java/org/apricotgauge/decision/TokenBucket.java
@@ -1,14 +1,14 @@
 package org.apricotgauge.decision;
 
 /**
- * Bounds a rate: so many bytes a second, with a burst.
+ * Limits a rate, such as bytes per second, and allows bursts.
  *
  * <pre>{@code
  * TokenBucket bucket = new TokenBucket(5_000, 5_000, ticker.millis());
- * if (bucket.take(text.length(), ticker.millis())) { send(text); }
+ * if (bucket.tryConsume(text.length(), ticker.millis())) { send(text); }
  * }</pre>
  *
- * <p>Not thread-safe; its owner takes turns.
+ * <p>Not thread-safe.
  */
 public final class TokenBucket {
     private static final double MILLIS_PER_SECOND = 1_000.0;
@@ -19,22 +19,22 @@
     private long mLastRefillMillis;
 
     /** Creates a full bucket. */
-    public TokenBucket(double rateBytesPerSecond, double burstBytes, long nowMillis) {
-        mRatePerSecond = rateBytesPerSecond;
-        mBurst = burstBytes;
-        mAvailable = burstBytes;
+    public TokenBucket(double ratePerSecond, double burst, long nowMillis) {
+        mRatePerSecond = ratePerSecond;
+        mBurst = burst;
+        mAvailable = burst;
         mLastRefillMillis = nowMillis;
     }
 
-    /** Takes the bytes if they are there. */
-    public boolean tryConsume(int bytes, long nowMillis) {
+    /** Consumes the tokens if enough are available, and returns whether it did. */
+    public boolean tryConsume(int tokens, long nowMillis) {
         double refill = (nowMillis - mLastRefillMillis) / MILLIS_PER_SECOND * mRatePerSecond;
         mAvailable = Math.min(mBurst, mAvailable + refill);
         mLastRefillMillis = nowMillis;
-        if (mAvailable < bytes) {
+        if (mAvailable < tokens) {
             return false;
         }
-        mAvailable -= bytes;
+        mAvailable -= tokens;
         return true;
     }
 }
--- a/src/main/java/org/apricotgauge/decision/package-info.java
+++ b/src/main/java/org/apricotgauge/decision/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decisions without I/O: they take observations and a time, and return values.
+ * Decision logic without I/O: takes observations and the time, and returns values.
  *
- * <p>Each can be fuzzed and measured without a socket.
+ * <p>Each class can be fuzzed and measured without a socket.
  */
 package org.apricotgauge.decision;
--- a/src/main/java/org/apricotgauge/decision/quarantine/BodyHash.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/BodyHash.java
@@ -4,7 +4,7 @@
 import java.security.MessageDigest;
 
 /**
- * The hash of a request's body, filled as the body goes by.
+ * Computes the hash of a request's body while the body is read.
  *
  * <pre>{@code
  * hash.update(bytes);
@@ -12,11 +12,11 @@
  * long body = hash.value();
  * }</pre>
  *
- * <p>Only the first {@link #MAX_HASHED_BYTES} count, so that a request can be recognised before the
- * rest of a long body has come. Thread-safe.
+ * <p>Only the first {@link #MAX_HASHED_BYTES} bytes are hashed, so that a request is identified
+ * before the rest of a long body has arrived. Thread-safe.
  */
 public final class BodyHash {
-    /** Bytes of a body that tell it from others. */
+    /** Maximum number of bytes of a body that are hashed. */
     public static final int MAX_HASHED_BYTES = 16_384;
 
     private MessageDigest mDigest;
@@ -24,23 +24,23 @@
     private boolean mIsComplete;
     private long mValue = Fingerprint.UNKNOWN_BODY;
 
-    /** Takes in the next bytes; the buffer's position stays. */
+    /** Adds the next bytes; the buffer's position does not change. */
     public synchronized void update(ByteBuffer bytes) {
-        int taken = Math.min(bytes.remaining(), MAX_HASHED_BYTES - mHashedBytes);
-        if (taken <= 0 || mIsComplete) {
+        int length = Math.min(bytes.remaining(), MAX_HASHED_BYTES - mHashedBytes);
+        if (length <= 0 || mIsComplete) {
             return;
         }
         if (mDigest == null) {
             mDigest = Sha256.create();
         }
-        mDigest.update(bytes.slice(bytes.position(), taken));
-        mHashedBytes += taken;
+        mDigest.update(bytes.slice(bytes.position(), length));
+        mHashedBytes += length;
         if (mHashedBytes == MAX_HASHED_BYTES) {
             complete();
         }
     }
 
-    /** Notes that the body has ended. */
+    /** Marks the end of the body. */
     public synchronized void end() {
         if (!mIsComplete) {
             complete();
@@ -52,12 +52,12 @@
         mValue = mHashedBytes == 0 ? Fingerprint.NO_BODY : Sha256.firstLong(mDigest);
     }
 
-    /** Returns whether enough of the body has been taken in. */
+    /** Returns whether the hash is final. */
     public synchronized boolean isComplete() {
         return mIsComplete;
     }
 
-    /** Returns the hash; {@link Fingerprint#UNKNOWN_BODY} while too little has been taken in. */
+    /** Returns the hash; {@link Fingerprint#UNKNOWN_BODY} until it is final. */
     public synchronized long value() {
         return mValue;
     }
--- a/src/main/java/org/apricotgauge/decision/quarantine/Crash.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/Crash.java
@@ -1,9 +1,9 @@
 package org.apricotgauge.decision.quarantine;
 
 /**
- * The end of one target under the requests that it ran.
+ * A crash of one target while it ran requests.
  *
- * @param id drawn at random by the node that saw it; tells crashes apart
- * @param atMillis when it happened, on the clock of the node that holds this value
+ * @param id random number drawn by the node that observed the crash; identifies it on all nodes
+ * @param atMillis when it happened, by the clock of the node that holds this value
  */
 public record Crash(long id, long atMillis) {}
--- a/src/main/java/org/apricotgauge/decision/quarantine/CrashGossip.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/CrashGossip.java
@@ -12,39 +12,40 @@
 import org.apricotgauge.time.Ticker;
 
 /**
- * Spreads what each node knows of requests that crash targets to all nodes.
+ * Replicates the crash records of requests to all nodes by gossip.
  *
  * <pre>{@code
- * gossip.changed(fingerprint);          // passed on at once, and for some ticks more
+ * gossip.recordChanged(fingerprint);    // sent with the next ticks
  * gossip.tick();
  * gossip.received(from, message);
  * }</pre>
  *
- * <p>Three crashes may be seen by three nodes, and the next copy arrive at a fourth, so that even
- * the first crash has to be known everywhere within a second or two. News goes to a few nodes drawn
- * at random, which do the same; messages may be lost. What is missed that way, by a node that was
- * cut off or has just started, comes with comparisons of sums: in each period every node asks the
- * one that stands so many places after it, and so is itself asked by one, another each time. A node
- * that has just started is asked like any other. Nothing is sent while nothing is known. Bytes of a
- * node are bounded. Thread-safe.
+ * <p>Three crashes may be observed by three nodes, and the next duplicate of the request may arrive
+ * at a fourth, so even the first crash must reach all nodes within a second or two. A changed
+ * record is sent to a few random nodes, which forward it in turn; messages may be lost. A node that
+ * was partitioned or has just started receives what it missed by comparing checksums: in each
+ * interval, every node sends a comparison request to the node at a certain distance behind it in
+ * the order of the fleet, so that each node also receives one, from another node each time. A node
+ * that has just started receives them like any other. Nothing is sent while the table is empty. The
+ * bytes that a node sends are bounded. Thread-safe.
  */
 public final class CrashGossip {
-    /** Ticks in which news is passed on, each time to {@link #FANOUT} nodes. */
+    /** Ticks in which a changed record is sent, each time to {@link #FANOUT} nodes. */
     static final int ROUNDS = 3;
 
-    /** Nodes that are told in a tick: one of the own failure domain, the others of any. */
+    /** Receivers per tick: one of the node's own failure domain, the others of any. */
     static final int FANOUT = 2;
 
-    /** Time between two comparisons while a request is held or something is new. */
+    /** Interval of comparisons while a request is quarantined or a record changed recently. */
     static final long COMPARE_INTERVAL_MILLIS = 400;
 
-    /** Time between two comparisons while all that is known is old. */
+    /** Interval of comparisons while nothing is quarantined and no record changed recently. */
     static final long IDLE_COMPARE_INTERVAL_MILLIS = 4_500;
 
-    /** What changed within this time is new. */
+    /** A change within this time is recent. */
     static final long RECENT_CHANGE_MILLIS = 30_000;
 
-    /** Bytes that a node may send in a second. */
+    /** Bytes that a node may send per second. */
     private static final double BYTES_PER_SECOND = 4_000;
 
     private static final double BURST_BYTES = 32_000;
@@ -63,7 +64,7 @@
     private long mLastChangeMillis;
     private int mComparisons;
 
-    /** Carries messages, which may be lost or come twice; must not block. */
+    /** Sends messages, which may be lost or duplicated; must not block. */
     @FunctionalInterface
     public interface Sender {
         /** Sends a message. */
@@ -73,14 +74,15 @@
     /**
      * The other nodes.
      *
-     * @param sameDomain those of the own failure domain
-     * @param successors all, in the one order of the fleet, beginning with the one behind this node
+     * @param sameDomain those of this node's failure domain
+     * @param successors all, in the order shared by the fleet, beginning with the one after this
+     *     node
      */
     public record Peers(List<Address> sameDomain, List<Address> successors) {
-        /** There are none. */
+        /** No other nodes. */
         public static final Peers NONE = new Peers(List.of(), List.of());
 
-        /** Checks the parts. */
+        /** Creates immutable copies of the lists. */
         public Peers {
             sameDomain = List.copyOf(sameDomain);
             successors = List.copyOf(successors);
@@ -90,20 +92,20 @@
     /**
      * Creates the gossip of a process that has just started.
      *
-     * @param table what this node knows
-     * @param peers the other nodes as they are known now
-     * @param port sends messages
-     * @param random draws the nodes that are told
+     * @param table the crash records of this node
+     * @param peers returns the other nodes as currently known
+     * @param sender sends messages
+     * @param random selects the receivers of changed records
      */
     public CrashGossip(
             QuarantineTable table,
             Supplier<Peers> peers,
-            Sender port,
+            Sender sender,
             RandomGenerator random,
             Ticker ticker) {
         mTable = Checks.notNull("table", table);
         mPeers = Checks.notNull("peers", peers);
-        mSender = Checks.notNull("port", port);
+        mSender = Checks.notNull("sender", sender);
         mRandom = Checks.notNull("random", random);
         mTicker = Checks.notNull("ticker", ticker);
         mByteBudget = new TokenBucket(BYTES_PER_SECOND, BURST_BYTES, ticker.millis());
@@ -111,13 +113,13 @@
         mLastChangeMillis = ticker.millis() - RECENT_CHANGE_MILLIS;
     }
 
-    /** Passes on that the record of a request tells more than before. */
+    /** Schedules the changed record of a request to be sent. */
     public synchronized void recordChanged(Fingerprint fingerprint) {
         mRoundsLeft.put(fingerprint, ROUNDS);
         mLastChangeMillis = mTicker.millis();
     }
 
-    /** Does what is due; called about ten times a second, and after news. */
+    /** Sends what is due; called about ten times per second, and after a crash. */
     public synchronized void tick() {
         Peers peers = mPeers.get();
         if (peers.successors().isEmpty()) {
@@ -133,64 +135,64 @@
     }
 
     private long compareIntervalMillis(long nowMillis) {
-        boolean isNew = nowMillis - mLastChangeMillis < RECENT_CHANGE_MILLIS;
-        return isNew || mTable.quarantinedCount() > 0
+        boolean isRecent = nowMillis - mLastChangeMillis < RECENT_CHANGE_MILLIS;
+        return isRecent || mTable.quarantinedCount() > 0
                 ? COMPARE_INTERVAL_MILLIS
                 : IDLE_COMPARE_INTERVAL_MILLIS;
     }
 
-    // Distances double, so that what one side of a healed cut knows crosses in few steps.
-    private Address nextComparisonPeer(List<Address> after) {
-        int distances = Integer.SIZE - Integer.numberOfLeadingZeros(after.size());
+    // Distances double, so that after a partition heals, records cross it in few steps.
+    private Address nextComparisonPeer(List<Address> successors) {
+        int distances = Integer.SIZE - Integer.numberOfLeadingZeros(successors.size());
         int distance = 1 << (mComparisons++ % distances);
-        return after.get(distance - 1);
+        return successors.get(distance - 1);
     }
 
     private void sendChangedRecords(Peers peers) {
         if (mRoundsLeft.isEmpty()) {
             return;
         }
-        List<Fingerprint> told =
+        List<Fingerprint> sent =
                 mRoundsLeft.keySet().stream().limit(CrashMessage.MAX_LINES).toList();
-        List<CrashMessage.Line> lines = told.stream().map(this::lineOf).toList();
+        List<CrashMessage.Line> lines = sent.stream().map(this::lineOf).toList();
         for (Address peer : chooseReceivers(peers)) {
             if (!send(peer, CrashMessage.Kind.NEWS, lines)) {
                 return;
             }
         }
-        for (Fingerprint fingerprint : told) {
-            int left = mRoundsLeft.remove(fingerprint) - 1;
-            if (left > 0) {
-                mRoundsLeft.put(fingerprint, left);
+        for (Fingerprint fingerprint : sent) {
+            int roundsLeft = mRoundsLeft.remove(fingerprint) - 1;
+            if (roundsLeft > 0) {
+                mRoundsLeft.put(fingerprint, roundsLeft);
             }
         }
     }
 
     private List<Address> chooseReceivers(Peers peers) {
-        List<Address> audience = new ArrayList<>(FANOUT);
-        audience.add(
+        List<Address> receivers = new ArrayList<>(FANOUT);
+        receivers.add(
                 randomPeer(peers.sameDomain().isEmpty() ? peers.successors() : peers.sameDomain()));
-        while (audience.size() < FANOUT) {
-            audience.add(randomPeer(peers.successors()));
+        while (receivers.size() < FANOUT) {
+            receivers.add(randomPeer(peers.successors()));
         }
-        return audience;
+        return receivers;
     }
 
     private Address randomPeer(List<Address> peers) {
         return peers.get(mRandom.nextInt(peers.size()));
     }
 
-    /** Takes in a message of another node. */
+    /** Handles a message from another node. */
     public void received(Address from, CrashMessage message) {
         long nowMillis = mTicker.millis();
-        boolean isNews = message.kind() == CrashMessage.Kind.NEWS;
+        boolean isUpdate = message.kind() == CrashMessage.Kind.NEWS;
         mTable.merge(
-                message.lines().stream().map(line -> line.toEntry(nowMillis)).toList(), isNews);
-        boolean isSame = message.sum() == mTable.checksum();
-        if (message.kind() == CrashMessage.Kind.ASK && !isSame) {
+                message.lines().stream().map(line -> line.toEntry(nowMillis)).toList(), isUpdate);
+        boolean isInSync = message.sum() == mTable.checksum();
+        if (message.kind() == CrashMessage.Kind.ASK && !isInSync) {
             sendAllRecords(from, CrashMessage.Kind.LAST_PART);
         }
-        if (message.kind() == CrashMessage.Kind.LAST_PART && !isSame) {
+        if (message.kind() == CrashMessage.Kind.LAST_PART && !isInSync) {
             sendAllRecords(from, CrashMessage.Kind.PART);
         }
     }
--- a/src/main/java/org/apricotgauge/decision/quarantine/CrashMessage.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/CrashMessage.java
@@ -4,44 +4,47 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * What nodes tell each other of requests that crash targets.
+ * A message of {@link CrashGossip}.
  *
  * @param kind what the receiver does with it
- * @param sum the sender's {@link QuarantineTable#checksum}
- * @param lines records, at most {@link #MAX_LINES}
+ * @param sum checksum of the sender's table, see {@link QuarantineTable#checksum}
+ * @param lines crash records, at most {@link #MAX_LINES}
  */
 public record CrashMessage(Kind kind, long sum, List<Line> lines) {
-    /** Records of one message; with nine crashes each, a datagram of 1,400 bytes holds so many. */
+    /** Maximum number of records; with nine crashes each, they fit a datagram of 1,400 bytes. */
     public static final int MAX_LINES = 8;
 
     /** What the receiver does with a message. */
     public enum Kind {
-        /** Something new; it passes it on. */
+        /** Changed records; the receiver forwards those that are new to it. */
         NEWS,
-        /** A question: if its own sum differs, it answers with all that it knows. */
+        /** A comparison request: if the checksums differ, the receiver answers with all records. */
         ASK,
-        /** A part of an answer. */
+        /** Part of an answer. */
         PART,
-        /** The last part of an answer: if its own sum still differs, it tells what it knows. */
+        /**
+         * Last part of an answer: if the checksums still differ, the receiver sends its own
+         * records.
+         */
         LAST_PART
     }
 
     /**
-     * One record; times are told as distances from now, since clocks differ.
+     * One crash record; times are relative to the moment of sending, since clocks differ.
      *
      * @param head the request's {@link Fingerprint#head}
      * @param body the request's {@link Fingerprint#body}
-     * @param voidMillis how long from now crashes do not count, negative for a time in the past;
-     *     {@link #NOT_CLEARED} if all count
+     * @param voidMillis time from now up to which crashes are cleared, negative for a time in the
+     *     past; {@link #NOT_CLEARED} if none is cleared
      * @param crashIds ids of the crashes
-     * @param agesMillis how long ago they were, in the same order
+     * @param agesMillis ages of the crashes, in the same order
      */
     public record Line(
             long head, long body, long voidMillis, List<Long> crashIds, List<Long> agesMillis) {
-        /** No crash is void. */
+        /** No crash is cleared. */
         public static final long NOT_CLEARED = Long.MIN_VALUE;
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Line {
             crashIds = List.copyOf(Checks.notNull("crashIds", crashIds));
             agesMillis = List.copyOf(Checks.notNull("agesMillis", agesMillis));
@@ -59,11 +62,12 @@
 
         static Line of(QuarantineTable.Entry entry, long nowMillis) {
             CrashRecord record = entry.record();
-            boolean isVoid = record.clearedUntilMillis() != CrashRecord.NONE.clearedUntilMillis();
+            boolean isCleared =
+                    record.clearedUntilMillis() != CrashRecord.NONE.clearedUntilMillis();
             return new Line(
                     entry.fingerprint().head(),
                     entry.fingerprint().body(),
-                    isVoid ? record.clearedUntilMillis() - nowMillis : NOT_CLEARED,
+                    isCleared ? record.clearedUntilMillis() - nowMillis : NOT_CLEARED,
                     record.crashes().stream().map(Crash::id).toList(),
                     record.crashes().stream()
                             .map(crash -> Math.max(0, nowMillis - crash.atMillis()))
@@ -83,7 +87,7 @@
         }
     }
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public CrashMessage {
         Checks.notNull("kind", kind);
         lines = List.copyOf(Checks.notNull("lines", lines));
--- a/src/main/java/org/apricotgauge/decision/quarantine/CrashRecord.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/CrashRecord.java
@@ -7,55 +7,55 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * The crashes that one request was at work in, and since when none of them counts.
+ * The crashes of targets while they ran one request, and the time up to which they are cleared.
  *
  * <pre>{@code
  * CrashRecord record = CrashRecord.NONE.with(new Crash(id, nowMillis));
- * boolean held = record.heldUntilMillis() > nowMillis;
+ * boolean isQuarantined = record.quarantinedUntilMillis() > nowMillis;
  * }</pre>
  *
- * <p>Records of two nodes are merged by union and by the later time: the order in which news
- * arrives, and how often, does not matter.
+ * <p>Two records are merged by the union of their crashes and the later clearing time, so the
+ * result depends neither on the order in which records arrive nor on how often they do.
  *
- * @param crashes those that count, the earliest first, at most {@link #MAX_CRASHES}
- * @param clearedUntilMillis crashes up to this time do not count
+ * @param crashes the crashes that are not cleared, the earliest first, at most {@link #MAX_CRASHES}
+ * @param clearedUntilMillis crashes up to this time are cleared and do not count
  */
 public record CrashRecord(List<Crash> crashes, long clearedUntilMillis) {
-    /** Nothing is known of the request. */
+    /** The record of a request without any crash. */
     public static final CrashRecord NONE = new CrashRecord(List.of(), Long.MIN_VALUE);
 
-    /** So many crashes, and no run that ended well, prove that the request causes them. */
+    /** This many crashes without a successful run prove that the request causes them. */
     static final int QUARANTINE_CRASHES = 3;
 
-    /** How long a request is held after its last crash, the first time. */
+    /** Duration of the first quarantine, counted from the last crash. */
     static final long BASE_QUARANTINE_MILLIS = 600_000;
 
-    /** Each further crash doubles the time, so often at the most. */
+    /** Each further crash doubles the duration, at most this many times. */
     static final int MAX_DOUBLINGS = 6;
 
-    /** Crashes that are kept; further ones change nothing. */
+    /** Number of latest crashes that are kept; more would not double the duration again. */
     static final int MAX_CRASHES = QUARANTINE_CRASHES + MAX_DOUBLINGS;
 
-    /** How long a record is remembered once it holds nothing back. */
+    /** How long a record is kept after its quarantine, last crash and clearing time have passed. */
     static final long RETENTION_MILLIS = 600_000;
 
-    /** Checks the parts, and drops the crashes that do not count. */
+    /** Validates the components and drops the crashes that do not count. */
     public CrashRecord {
         Checks.notNull("crashes", crashes);
         crashes = countedCrashes(crashes, clearedUntilMillis);
     }
 
-    private static List<Crash> countedCrashes(List<Crash> crashes, long voidUntilMillis) {
-        List<Crash> counting =
+    private static List<Crash> countedCrashes(List<Crash> crashes, long clearedUntilMillis) {
+        List<Crash> counted =
                 crashes.stream()
-                        .filter(crash -> crash.atMillis() > voidUntilMillis)
+                        .filter(crash -> crash.atMillis() > clearedUntilMillis)
                         .sorted(Comparator.comparingLong(Crash::atMillis))
                         .toList();
-        int over = Math.max(0, counting.size() - MAX_CRASHES);
-        return counting.subList(over, counting.size());
+        int excess = Math.max(0, counted.size() - MAX_CRASHES);
+        return counted.subList(excess, counted.size());
     }
 
-    /** Returns the record with one more crash; the same one if it is known. */
+    /** Returns the record with the crash added; this record if it already contains it. */
     CrashRecord with(Crash crash) {
         if (crashes.stream().anyMatch(known -> known.id() == crash.id())) {
             return this;
@@ -65,12 +65,12 @@
         return new CrashRecord(all, clearedUntilMillis);
     }
 
-    /** Returns the record in which crashes up to a time do not count. */
+    /** Returns the record with crashes up to the given time cleared. */
     CrashRecord withClearedUntil(long millis) {
         return millis <= clearedUntilMillis ? this : new CrashRecord(crashes, millis);
     }
 
-    /** Returns all that this record and another one tell. */
+    /** Returns the union of both records. */
     CrashRecord merge(CrashRecord other) {
         CrashRecord merged = withClearedUntil(other.clearedUntilMillis());
         for (Crash crash : other.crashes()) {
@@ -79,7 +79,7 @@
         return merged;
     }
 
-    /** Returns until when the request is kept from targets; {@link Long#MIN_VALUE} if it is not. */
+    /** Returns when the quarantine ends; {@link Long#MIN_VALUE} if there is none. */
     long quarantinedUntilMillis() {
         if (crashes.size() < QUARANTINE_CRASHES) {
             return Long.MIN_VALUE;
@@ -89,17 +89,17 @@
                         << Math.min(MAX_DOUBLINGS, crashes.size() - QUARANTINE_CRASHES));
     }
 
-    /** Returns when the record tells nothing any more. */
+    /** Returns when the record may be removed. */
     long expiresAtMillis() {
-        long lastHeldMillis = Math.max(quarantinedUntilMillis(), lastCrashMillis());
-        return Math.max(lastHeldMillis, clearedUntilMillis) + RETENTION_MILLIS;
+        long lastActiveMillis = Math.max(quarantinedUntilMillis(), lastCrashMillis());
+        return Math.max(lastActiveMillis, clearedUntilMillis) + RETENTION_MILLIS;
     }
 
     private long lastCrashMillis() {
         return crashes.isEmpty() ? Long.MIN_VALUE / 2 : crashes.get(crashes.size() - 1).atMillis();
     }
 
-    /** Returns a hash that two nodes agree on if they count the same crashes of the request. */
+    /** Returns a hash that is equal on two nodes if they count the same crashes. */
     long checksum(Fingerprint fingerprint) {
         long sum = 0;
         for (Crash crash : crashes) {
--- a/src/main/java/org/apricotgauge/decision/quarantine/Fingerprint.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/Fingerprint.java
@@ -6,21 +6,21 @@
 import java.util.Optional;
 
 /**
- * What makes two requests the same one, whatever ids they have and wherever they arrive.
+ * Identifies equal requests, whatever their ids and wherever they arrive.
  *
  * <pre>{@code
- * long head = Fingerprint.headOf("GET", "site.example", "/lessons?week=3", "anonymous");
+ * long head = Fingerprint.hashHead("GET", "site.example", "/lessons?week=3", "anonymous");
  * Fingerprint lookup = new Fingerprint(head, Fingerprint.NO_BODY);
  * }</pre>
  *
  * @param head hash of method, host, path with query, and member
- * @param body hash of the body; {@link #NO_BODY} or {@link #UNKNOWN_BODY} in its place
+ * @param body hash of the body, or {@link #NO_BODY} or {@link #UNKNOWN_BODY}
  */
 public record Fingerprint(long head, long body) {
-    /** Stands for the body of a request without one. */
+    /** Value for a request without a body. */
     public static final long NO_BODY = 0;
 
-    /** Stands for a body that was not read as far as its hash needs. */
+    /** Value for a body that has not been read far enough to compute its hash. */
     public static final long UNKNOWN_BODY = -1;
 
     private static final HexFormat HEX = HexFormat.of();
@@ -29,9 +29,9 @@
     private static final byte END_OF_PART = 0;
 
     /**
-     * Hashes the head of a request.
+     * Returns the hash of the head of a request.
      *
-     * @param member id of the member on whose behalf it comes
+     * @param member id of the member that the request belongs to
      */
     public static long hashHead(String method, String host, String pathQuery, String member) {
         MessageDigest digest = Sha256.create();
@@ -42,12 +42,12 @@
         return Sha256.firstLong(digest);
     }
 
-    /** Returns whether all of the request went into the fingerprint. */
+    /** Returns whether the fingerprint covers the whole request, including its body. */
     public boolean isComplete() {
         return body != UNKNOWN_BODY;
     }
 
-    /** Reads what {@link #toString} wrote; nothing if the text is malformed. */
+    /** Parses the result of {@link #toString}; empty if the text is malformed. */
     public static Optional<Fingerprint> parse(String text) {
         if (text == null
                 || text.length() != 2 * HEX_DIGITS + 1
--- a/src/main/java/org/apricotgauge/decision/quarantine/QuarantineListener.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/QuarantineListener.java
@@ -1,21 +1,21 @@
 package org.apricotgauge.decision.quarantine;
 
-/** Hears what changes in a {@link QuarantineTable}; called outside its lock, on any thread. */
+/** Receives the changes of a {@link QuarantineTable}; called outside its lock, on any thread. */
 public interface QuarantineListener {
 
-    /** A request is held from now on. */
-    void quarantined(Fingerprint fingerprint, int crashes, long heldMillis);
+    /** Called when a request is quarantined. */
+    void quarantined(Fingerprint fingerprint, int crashes, long quarantineMillis);
 
-    /** A request is let through again, since it ran well or an operator wants it. */
+    /** Called when a request is released: after a successful run, by an operator, or by expiry. */
     void released(Fingerprint fingerprint);
 
     /**
-     * A record tells more than before.
+     * Called when a record has changed.
      *
-     * @param isUrgent whether others should hear of it soon
+     * @param isUrgent whether other nodes should receive the change soon
      */
     void recordChanged(Fingerprint fingerprint, boolean isUrgent);
 
-    /** A crash was not taken in, since all room is taken by requests that are held. */
+    /** Called when a crash is not recorded since the table is full of quarantined requests. */
     void tableFull();
 }
--- a/src/main/java/org/apricotgauge/decision/quarantine/QuarantineTable.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/QuarantineTable.java
@@ -16,28 +16,28 @@
 import org.apricotgauge.time.Ticker;
 
 /**
- * Which requests are kept from targets because they crash whatever runs them.
+ * Tracks the requests during which targets crashed, and decides which of them are quarantined.
  *
  * <pre>{@code
- * table.crashed(List.of(first, second), crashId);   // a target ended under these two
- * table.endedWell(second);                          // the second one has proved innocent
- * long millis = table.heldMillis(first);            // 0 if it may run
+ * table.recordCrash(List.of(first, second), crashId);     // a target crashed while running both
+ * table.recordSuccess(second);                            // clears the second one
+ * long millis = table.remainingQuarantineMillis(first);   // 0 if it may run
  * }</pre>
  *
- * <p>A target that ends takes all its requests along, so that most of those that were at work are
- * innocent. A request is held after {@link CrashRecord#QUARANTINE_CRASHES} crashes of which none
- * was preceded or followed by a run that ended well. Memory is bounded; a request that is held is
- * never forgotten for the sake of a newcomer. Thread-safe; a reader on a request's path takes no
+ * <p>A target that crashes terminates all requests that it is running, so most of them did not
+ * cause the crash. A request is quarantined after {@link CrashRecord#QUARANTINE_CRASHES} crashes,
+ * none of which was preceded or followed by a successful run. Memory is bounded; a quarantined
+ * request is never evicted in favor of a new one. Thread-safe; reads on the request path take no
  * lock.
  */
 public final class QuarantineTable {
-    /** Requests of which crashes are remembered. */
+    /** Maximum number of requests with a crash record. */
     static final int MAX_RECORDS = 1_024;
 
-    /** A run that ended well clears its request of crashes up to so much later. */
+    /** A successful run clears the crashes of its request up to this long after it. */
     static final long CLEARED_AFTER_SUCCESS_MILLIS = 60_000;
 
-    /** Requests that ended well of which that is remembered. */
+    /** Maximum number of requests whose successful run is remembered. */
     private static final int MAX_SUCCESSES = 4_096;
 
     private final Ticker mTicker;
@@ -46,7 +46,7 @@
     private final Map<Fingerprint, CrashRecord> mRecords = new HashMap<>();
     private volatile View mView = View.EMPTY;
 
-    /** What readers see. */
+    /** Immutable state for lock-free reads. */
     private record View(
             Map<Fingerprint, CrashRecord> quarantined,
             Set<Long> quarantinedHeads,
@@ -55,10 +55,10 @@
     }
 
     /**
-     * A record with the request that it is about.
+     * A request and its crash record.
      *
-     * @param fingerprint the request
-     * @param record its crashes
+     * @param fingerprint identifies the request
+     * @param record the crashes of the request
      */
     public record Entry(Fingerprint fingerprint, CrashRecord record) {}
 
@@ -77,40 +77,40 @@
                         .build();
     }
 
-    /** Returns how long the request is still kept from targets, in milliseconds; 0 if it is not. */
+    /** Returns the remaining quarantine of the request, in milliseconds; 0 if it may run. */
     public long remainingQuarantineMillis(Fingerprint fingerprint) {
         CrashRecord record = mView.quarantined().get(fingerprint);
         return record == null ? 0 : Math.max(0, record.quarantinedUntilMillis() - mTicker.millis());
     }
 
-    /** Returns whether a request with this head is held, so that the body must be known. */
+    /** Returns whether a request with this head is quarantined, so that the body must be read. */
     public boolean isQuarantinedHead(long head) {
         return mView.quarantinedHeads().contains(head);
     }
 
-    /** Returns whether a request with this head was at work in a crash. */
+    /** Returns whether a target crashed while it ran a request with this head. */
     public boolean isSuspectHead(long head) {
         return mView.suspectHeads().contains(head);
     }
 
-    /** Returns how many requests are held. */
+    /** Returns the number of quarantined requests. */
     public int quarantinedCount() {
         return mView.quarantined().size();
     }
 
-    /** Returns of how many requests crashes are remembered. */
+    /** Returns the number of requests with a record. */
     public synchronized int size() {
         return mRecords.size();
     }
 
-    /** Takes in that a target ended while it ran these requests. */
+    /** Records that a target crashed while it ran these requests. */
     public void recordCrash(Collection<Fingerprint> requests, long crashId) {
         Crash crash = new Crash(crashId, mTicker.millis());
-        CrashRecord once = CrashRecord.NONE.with(crash);
-        update(requests.stream().distinct().map(one -> new Entry(one, once)).toList(), true);
+        CrashRecord record = CrashRecord.NONE.with(crash);
+        update(requests.stream().distinct().map(one -> new Entry(one, record)).toList(), true);
     }
 
-    /** Takes in that a run of the request ended well. */
+    /** Records a successful run of the request. */
     public void recordSuccess(Fingerprint fingerprint) {
         if (!fingerprint.isComplete()) {
             return;
@@ -127,40 +127,40 @@
         return record != null && !record.crashes().isEmpty();
     }
 
-    /** Lets a request through again; returns false if nothing is held against it. */
+    /** Releases a request and clears its crashes; returns false if it has none. */
     public boolean release(Fingerprint fingerprint) {
-        boolean known = hasCrashes(fingerprint);
-        if (known) {
+        boolean hasCrashes = hasCrashes(fingerprint);
+        if (hasCrashes) {
             update(fingerprint, CrashRecord.NONE.withClearedUntil(mTicker.millis()), true);
         }
-        return known;
+        return hasCrashes;
     }
 
     /**
-     * Takes in what another node knows.
+     * Merges records received from another node.
      *
-     * @param isNews whether the other node tells it since it is new
+     * @param isUpdate whether the other node sent them because they changed
      */
-    public void merge(List<Entry> told, boolean isNews) {
+    public void merge(List<Entry> entries, boolean isUpdate) {
         long nowMillis = mTicker.millis();
         update(
-                told.stream()
+                entries.stream()
                         .filter(entry -> entry.record().expiresAtMillis() > nowMillis)
                         .toList(),
-                isNews);
+                isUpdate);
     }
 
-    /** Lets requests through that were held for long enough, and forgets what is long past. */
+    /** Releases requests whose quarantine has ended, and removes expired records. */
     public void expire() {
         long nowMillis = mTicker.millis();
         Set<Fingerprint> before = mView.quarantined().keySet();
         synchronized (this) {
-            boolean isOver =
+            boolean hasEnded =
                     mView.quarantined().keySet().stream()
                             .anyMatch(one -> remainingQuarantineMillis(one) == 0);
-            boolean isForgotten =
+            boolean hasExpired =
                     mRecords.values().removeIf(record -> record.expiresAtMillis() <= nowMillis);
-            if (!isOver && !isForgotten) {
+            if (!hasEnded && !hasExpired) {
                 return;
             }
             rebuildView();
@@ -169,15 +169,15 @@
         before.stream().filter(one -> !after.contains(one)).forEach(mListener::released);
     }
 
-    private void update(Fingerprint fingerprint, CrashRecord told, boolean isNews) {
-        update(List.of(new Entry(fingerprint, told)), isNews);
+    private void update(Fingerprint fingerprint, CrashRecord record, boolean isUpdate) {
+        update(List.of(new Entry(fingerprint, record)), isUpdate);
     }
 
-    private void update(List<Entry> told, boolean isNews) {
+    private void update(List<Entry> entries, boolean isUpdate) {
         List<Change> changes = new ArrayList<>();
         boolean isFull = false;
         synchronized (this) {
-            for (Entry entry : told) {
+            for (Entry entry : entries) {
                 CrashRecord before = record(entry.fingerprint());
                 CrashRecord after =
                         withLocalSuccess(entry.fingerprint(), before.merge(entry.record()));
@@ -195,13 +195,13 @@
                 rebuildView();
             }
         }
-        changes.forEach(change -> notifyListener(change, isNews));
+        changes.forEach(change -> notifyListener(change, isUpdate));
         if (isFull) {
             mListener.tableFull();
         }
     }
 
-    // This node may have seen a run end well before anybody heard of a crash.
+    // A run may have succeeded at this node before any crash was reported.
     private CrashRecord withLocalSuccess(Fingerprint fingerprint, CrashRecord record) {
         Long clearedUntilMillis = mSuccesses.getIfPresent(fingerprint);
         return clearedUntilMillis == null || record.crashes().isEmpty()
@@ -225,7 +225,7 @@
         return oldest.isPresent();
     }
 
-    // A head alone holds nothing: it would stop all requests that differ in their bodies.
+    // A head without a body hash must not quarantine: it would block requests with other bodies.
     private static boolean isQuarantined(
             Fingerprint fingerprint, CrashRecord record, long nowMillis) {
         return fingerprint.isComplete() && record.quarantinedUntilMillis() > nowMillis;
@@ -233,8 +233,8 @@
 
     private void rebuildView() {
         long nowMillis = mTicker.millis();
-        Map<Fingerprint, CrashRecord> held = new HashMap<>();
-        Set<Long> heldHeads = new HashSet<>();
+        Map<Fingerprint, CrashRecord> quarantined = new HashMap<>();
+        Set<Long> quarantinedHeads = new HashSet<>();
         Set<Long> suspectHeads = new HashSet<>();
         mRecords.forEach(
                 (fingerprint, record) -> {
@@ -243,37 +243,37 @@
                     }
                     suspectHeads.add(fingerprint.head());
                     if (isQuarantined(fingerprint, record, nowMillis)) {
-                        held.put(fingerprint, record);
-                        heldHeads.add(fingerprint.head());
+                        quarantined.put(fingerprint, record);
+                        quarantinedHeads.add(fingerprint.head());
                     }
                 });
-        mView = new View(held, heldHeads, suspectHeads);
+        mView = new View(quarantined, quarantinedHeads, suspectHeads);
     }
 
-    private void notifyListener(Change change, boolean isNews) {
+    private void notifyListener(Change change, boolean isUpdate) {
         long nowMillis = mTicker.millis();
         Fingerprint fingerprint = change.fingerprint();
         CrashRecord after = change.after();
-        boolean wasHeld = isQuarantined(fingerprint, change.before(), nowMillis);
-        boolean isHeld = isQuarantined(fingerprint, after, nowMillis);
-        if (isHeld && !wasHeld) {
+        boolean wasQuarantined = isQuarantined(fingerprint, change.before(), nowMillis);
+        boolean isQuarantined = isQuarantined(fingerprint, after, nowMillis);
+        if (isQuarantined && !wasQuarantined) {
             mListener.quarantined(
                     fingerprint,
                     after.crashes().size(),
                     after.quarantinedUntilMillis() - nowMillis);
         }
-        if (wasHeld && !isHeld) {
+        if (wasQuarantined && !isQuarantined) {
             mListener.released(fingerprint);
         }
-        mListener.recordChanged(fingerprint, isNews || isHeld != wasHeld);
+        mListener.recordChanged(fingerprint, isUpdate || isQuarantined != wasQuarantined);
     }
 
-    /** Returns what is known of a request; {@link CrashRecord#NONE} if nothing is. */
+    /** Returns the record of a request; {@link CrashRecord#NONE} if there is none. */
     synchronized CrashRecord record(Fingerprint fingerprint) {
         return mRecords.getOrDefault(fingerprint, CrashRecord.NONE);
     }
 
-    /** Returns all records, those of held requests first. */
+    /** Returns all records, those of quarantined requests first. */
     public synchronized List<Entry> entries() {
         List<Entry> entries = new ArrayList<>(mRecords.size());
         mRecords.forEach((fingerprint, record) -> entries.add(new Entry(fingerprint, record)));
@@ -283,7 +283,7 @@
         return entries;
     }
 
-    /** Returns a hash that two tables agree on if they count the same crashes. */
+    /** Returns a hash that is equal for two tables if they count the same crashes. */
     synchronized long checksum() {
         long sum = 0;
         for (Map.Entry<Fingerprint, CrashRecord> entry : mRecords.entrySet()) {
--- a/src/main/java/org/apricotgauge/decision/quarantine/Sha256.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/Sha256.java
@@ -4,16 +4,16 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** The hash that fingerprints are made of; nobody can find a second request with the same one. */
+/** The hash of fingerprints; a second request with the same hash cannot feasibly be found. */
 final class Sha256 {
     private Sha256() {}
 
-    /** Returns a digest to be filled. */
+    /** Returns an empty digest. */
     static MessageDigest create() {
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("every Java platform must support SHA-256", e);
         }
     }
 
--- a/src/main/java/org/apricotgauge/decision/quarantine/package-info.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that crash the targets that run them: how they are recognised and kept away. */
+/** Identifies requests that crash the targets running them, and quarantines them. */
 package org.apricotgauge.decision.quarantine;
--- a/src/main/java/org/apricotgauge/decision/ratelimit/DistributedRateLimiter.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/DistributedRateLimiter.java
@@ -15,40 +15,42 @@
 import org.apricotgauge.model.RateLimit;
 
 /**
- * One node's part in keeping members to their limits: asks for tokens, and answers who asks.
+ * Enforces the rate limits of members across all nodes: requests tokens from other nodes, and
+ * grants tokens to them.
  *
  * <pre>{@code
- * desk.take(member, limit, nowMillis, verdict -> ...);   // at once, or once a lender has answered
- * desk.received(from, message, nowMillis);
- * desk.expire(nowMillis);                                // every few milliseconds while one waits
+ * limiter.acquire(member, limit, nowMillis, decision -> ...);   // at once, or after a response
+ * limiter.received(from, message, nowMillis);
+ * limiter.expire(nowMillis);   // every few milliseconds while requests are pending
  * }</pre>
  *
- * <p>The home is asked first, then its stand-in, which asks the home on the asker's behalf: the
- * path between asker and home may be the only thing that is broken. It lends itself if the home is
- * silent to it too. One question for a member is under way at a time; requests that come meanwhile
- * share the next. Time and messages are passed in and out; synchronised by its owner.
+ * <p>The request goes to the owner of the member, then to the backup owner, which forwards it to
+ * the owner, since possibly only the path between requester and owner is broken. The backup owner
+ * grants tokens itself if the owner does not respond to it either. Each member has at most one
+ * pending request; callers that arrive meanwhile share the next one. Time and messages are passed
+ * in and out. Not thread-safe; the caller must synchronize.
  */
 public final class DistributedRateLimiter {
-    /** How long the answer of a lender is awaited, in milliseconds. */
+    /** Timeout of a request, in milliseconds. */
     static final long RESPONSE_TIMEOUT_MILLIS = 150;
 
-    /** A stand-in awaits the home for less, so that its own answer comes in time. */
+    /** Timeout of a forwarded request; shorter, so that the backup owner's response is in time. */
     static final long FORWARD_TIMEOUT_MILLIS = 100;
 
-    /** How long a lender that did not answer is passed over, in milliseconds. */
+    /** How long a node that did not respond is skipped, in milliseconds. */
     static final long UNRESPONSIVE_MILLIS = 1_000;
 
-    /** A node that has heard nobody for so long may be cut off, in milliseconds. */
+    /** A node that has received no message for this long may be isolated, in milliseconds. */
     static final long CONTACT_TIMEOUT_MILLIS = 1_000;
 
-    /** Nodes that a node asks for a sign of life before it lends to itself. */
+    /** Nodes that a possibly isolated node probes before it grants tokens to itself. */
     private static final int CONTACT_PROBES = 3;
 
-    /** How long a refusal stands for the requests that follow, in milliseconds. */
+    /** How long a refusal is reused for the callers that follow, in milliseconds. */
     static final long REFUSAL_CACHE_MILLIS = 50;
 
-    /** Questions passed on at once; what comes beyond is answered here. */
-    private static final int MAX_FORWARDED_REQUESTS = 10_000;
+    /** Maximum number of concurrently forwarded requests; this node answers any others itself. */
+    private static final int MAX_FORWARDED = 10_000;
 
     private final Sender mSender;
     private final Function<String, RateLimit> mLimits;
@@ -56,36 +58,36 @@
     private final FallbackQuota mFallbackQuota;
     private final Map<String, MemberState> mMembers = new HashMap<>();
     private final Map<Long, String> mMemberByRequestId = new HashMap<>();
-    private final Map<Long, ForwardedRequest> mForwardedRequests = new HashMap<>();
+    private final Map<Long, ForwardedRequest> mForwarded = new HashMap<>();
     private final Map<Address, Long> mUnresponsiveUntilMillis = new HashMap<>();
     private MemberOwners mOwners;
     private long mNextId;
     private long mLastContactMillis;
 
-    /** Sends a message; it may be lost. */
+    /** Sends messages, which may be lost. */
     @FunctionalInterface
     public interface Sender {
         /** Sends a message. */
         void send(Address to, TokenMessage message);
     }
 
-    /** Where a question stands; one lost datagram must not make a second lender. */
+    /** State of a request; the owner is retried, so that a lost datagram adds no second grantor. */
     private enum Stage {
         OWNER,
         OWNER_RETRY,
         BACKUP_OWNER,
-        /** This node is to lend, once it knows that it is not cut off. */
+        /** This node is to grant the tokens once a response shows that it is not isolated. */
         CONNECTIVITY_CHECK
     }
 
     /**
-     * A question of this node that is under way.
+     * A pending request of this node.
      *
-     * @param id its number
-     * @param stage where it stands
-     * @param grantor the one that is to lend; null if this node is
-     * @param waiting the requests that it is for
-     * @param deadlineMillis how long the answer is awaited
+     * @param id identifies the request
+     * @param stage state of the request
+     * @param grantor the node that is to grant the tokens; null if this node is
+     * @param waiting the callers that it is for
+     * @param deadlineMillis when the request times out
      */
     private record PendingRequest(
             long id,
@@ -94,11 +96,11 @@
             List<Consumer<RateLimitDecision>> waiting,
             long deadlineMillis) {}
 
-    /** A question that was passed on to the home. */
+    /** A request that was forwarded to the owner. */
     private record ForwardedRequest(
             Address requester, TokenMessage.Request request, Address owner, long deadlineMillis) {}
 
-    /** Requests of one member at this node. */
+    /** State of one member at this node. */
     private static final class MemberState {
         private final Deque<Consumer<RateLimitDecision>> mQueue = new ArrayDeque<>();
         private RateLimit mLimit;
@@ -111,7 +113,7 @@
         }
     }
 
-    /** A verdict that is due, to be told once the desk's state is settled. */
+    /** A decision that is delivered once the state of the limiter is consistent. */
     private record PendingDecision(
             Consumer<RateLimitDecision> callback, RateLimitDecision decision) {
         void deliver() {
@@ -120,20 +122,20 @@
     }
 
     /**
-     * Creates the desk of one node.
+     * Creates the limiter of one node.
      *
-     * @param homes the nodes as known now
+     * @param owners the owners of members among the nodes currently known
      * @param sender sends messages to other nodes
-     * @param limits limit of a member; null if it has none
+     * @param limits returns the limit of a member; null if it has none
      * @param tolerance what the operator tolerates beyond limits
      */
     public DistributedRateLimiter(
-            MemberOwners homes,
+            MemberOwners owners,
             Sender sender,
             Function<String, RateLimit> limits,
             FallbackQuota.Tolerance tolerance,
             long nowMillis) {
-        mOwners = Checks.notNull("homes", homes);
+        mOwners = Checks.notNull("owners", owners);
         mSender = Checks.notNull("sender", sender);
         mLimits = Checks.notNull("limits", limits);
         mTokenBuckets = new MemberTokenBuckets(tolerance, nowMillis);
@@ -141,96 +143,95 @@
         mLastContactMillis = nowMillis - CONTACT_TIMEOUT_MILLIS;
     }
 
-    /** Takes in that nodes came or went. */
-    public void fleetChanged(MemberOwners homes, long nowMillis) {
-        mOwners = homes;
-        mTokenBuckets.fleetChanged(homes::isOwner, nowMillis);
+    /** Called when nodes joined or left. */
+    public void fleetChanged(MemberOwners owners, long nowMillis) {
+        mOwners = owners;
+        mTokenBuckets.fleetChanged(owners::isOwner, nowMillis);
         mUnresponsiveUntilMillis.values().removeIf(untilMillis -> untilMillis <= nowMillis);
-        mMembers.values().removeIf(borrower -> borrower.isIdle(nowMillis));
+        mMembers.values().removeIf(state -> state.isIdle(nowMillis));
     }
 
-    /** Returns whether a question is under way, so that {@link #expire} has something to do. */
+    /** Returns whether a request is pending, so that {@link #expire} must be called. */
     public boolean hasPendingRequests() {
-        return !mMemberByRequestId.isEmpty() || !mForwardedRequests.isEmpty();
+        return !mMemberByRequestId.isEmpty() || !mForwarded.isEmpty();
     }
 
     /**
-     * Asks for one token.
+     * Requests one token.
      *
      * @param limit the member's limit
-     * @param request hears the verdict once, perhaps before this returns
+     * @param callback receives the decision exactly once, possibly before this method returns
      */
     public void acquire(
-            String member, RateLimit limit, long nowMillis, Consumer<RateLimitDecision> request) {
+            String member, RateLimit limit, long nowMillis, Consumer<RateLimitDecision> callback) {
         if (mOwners.isOwner(member) && isInContact(nowMillis)) {
-            TokenGrant answer =
+            TokenGrant grant =
                     mTokenBuckets.grant(member, limit, 1, MemberTokenBuckets.Role.OWNER, nowMillis);
-            request.accept(
-                    answer.granted() > 0
+            callback.accept(
+                    grant.granted() > 0
                             ? RateLimitDecision.GRANTED
-                            : new RateLimitDecision.Refused(answer.retryAfterMillis()));
+                            : new RateLimitDecision.Refused(grant.retryAfterMillis()));
             return;
         }
-        MemberState borrower = mMembers.computeIfAbsent(member, id -> new MemberState());
-        if (nowMillis < borrower.mRefusedUntilMillis) {
-            request.accept(
-                    new RateLimitDecision.Refused(
-                            Math.max(1, borrower.mRetryAtMillis - nowMillis)));
+        MemberState state = mMembers.computeIfAbsent(member, id -> new MemberState());
+        if (nowMillis < state.mRefusedUntilMillis) {
+            callback.accept(
+                    new RateLimitDecision.Refused(Math.max(1, state.mRetryAtMillis - nowMillis)));
             return;
         }
-        borrower.mLimit = limit;
-        borrower.mQueue.add(request);
-        if (borrower.mPending == null) {
-            sendNextRequest(member, borrower, nowMillis).forEach(PendingDecision::deliver);
+        state.mLimit = limit;
+        state.mQueue.add(callback);
+        if (state.mPending == null) {
+            sendNextRequest(member, state, nowMillis).forEach(PendingDecision::deliver);
         }
     }
 
     private List<PendingDecision> sendNextRequest(
-            String member, MemberState borrower, long nowMillis) {
-        if (borrower.mQueue.isEmpty()) {
+            String member, MemberState state, long nowMillis) {
+        if (state.mQueue.isEmpty()) {
             return List.of();
         }
         List<Consumer<RateLimitDecision>> waiting = new ArrayList<>();
-        while (!borrower.mQueue.isEmpty() && waiting.size() < TokenMessage.Request.MAX_COUNT) {
-            waiting.add(borrower.mQueue.poll());
+        while (!state.mQueue.isEmpty() && waiting.size() < TokenMessage.Request.MAX_COUNT) {
+            waiting.add(state.mQueue.poll());
         }
-        Address home = mOwners.owner(member);
+        Address owner = mOwners.owner(member);
         if (mOwners.isOwner(member)) {
-            checkConnectivity(member, borrower, waiting, nowMillis);
+            checkConnectivity(member, state, waiting, nowMillis);
             return List.of();
         }
-        if (isUnresponsive(home, nowMillis)) {
-            return requestFromBackupOwner(member, borrower, waiting, nowMillis);
+        if (isUnresponsive(owner, nowMillis)) {
+            return requestFromBackupOwner(member, state, waiting, nowMillis);
         }
-        sendRequest(member, borrower, waiting, Stage.OWNER, home, nowMillis);
+        sendRequest(member, state, waiting, Stage.OWNER, owner, nowMillis);
         return List.of();
     }
 
     private List<PendingDecision> requestFromBackupOwner(
             String member,
-            MemberState borrower,
+            MemberState state,
             List<Consumer<RateLimitDecision>> waiting,
             long nowMillis) {
         probe(mOwners.owner(member), member);
-        Optional<Address> standIn = mOwners.backupOwner(member);
-        if (standIn.isPresent() && mOwners.rank(member) == 1) {
+        Optional<Address> backupOwner = mOwners.backupOwner(member);
+        if (backupOwner.isPresent() && mOwners.rank(member) == 1) {
             if (!isInContact(nowMillis)) {
-                checkConnectivity(member, borrower, waiting, nowMillis);
+                checkConnectivity(member, state, waiting, nowMillis);
                 return List.of();
             }
-            borrower.mPending = null;
-            return grantLocally(member, borrower, waiting, nowMillis);
+            state.mPending = null;
+            return grantLocally(member, state, waiting, nowMillis);
         }
-        if (standIn.isEmpty() || isUnresponsive(standIn.get(), nowMillis)) {
-            borrower.mPending = null;
-            return applyFallbackQuota(member, borrower, waiting, nowMillis);
+        if (backupOwner.isEmpty() || isUnresponsive(backupOwner.get(), nowMillis)) {
+            state.mPending = null;
+            return applyFallbackQuota(member, state, waiting, nowMillis);
         }
-        sendRequest(member, borrower, waiting, Stage.BACKUP_OWNER, standIn.get(), nowMillis);
+        sendRequest(member, state, waiting, Stage.BACKUP_OWNER, backupOwner.get(), nowMillis);
         return List.of();
     }
 
-    // Cut off from all others, a home would lend to its own callers what its stand-in lends to the
-    // rest of the fleet.
+    // An isolated owner would grant to its own callers the tokens that the backup owner grants to
+    // the rest of the fleet.
     private boolean isInContact(long nowMillis) {
         return nowMillis - mLastContactMillis < CONTACT_TIMEOUT_MILLIS
                 || mOwners.otherNodes(0, 1).isEmpty();
@@ -238,13 +239,13 @@
 
     private void checkConnectivity(
             String member,
-            MemberState borrower,
+            MemberState state,
             List<Consumer<RateLimitDecision>> waiting,
             long nowMillis) {
         long id = mNextId++;
-        long untilMillis = nowMillis + RESPONSE_TIMEOUT_MILLIS;
-        borrower.mPending =
-                new PendingRequest(id, Stage.CONNECTIVITY_CHECK, null, waiting, untilMillis);
+        long deadlineMillis = nowMillis + RESPONSE_TIMEOUT_MILLIS;
+        state.mPending =
+                new PendingRequest(id, Stage.CONNECTIVITY_CHECK, null, waiting, deadlineMillis);
         mMemberByRequestId.put(id, member);
         for (Address other : mOwners.otherNodes(id, CONTACT_PROBES)) {
             mSender.send(other, new TokenMessage.Request(id, member, 0, true));
@@ -253,35 +254,36 @@
 
     private List<PendingDecision> grantLocally(
             String member,
-            MemberState borrower,
+            MemberState state,
             List<Consumer<RateLimitDecision>> waiting,
             long nowMillis) {
         MemberTokenBuckets.Role role =
                 mOwners.isOwner(member)
                         ? MemberTokenBuckets.Role.OWNER
                         : MemberTokenBuckets.Role.BACKUP_OWNER;
-        TokenGrant answer =
-                mTokenBuckets.grant(member, borrower.mLimit, waiting.size(), role, nowMillis);
-        return applyGrant(borrower, waiting, answer, nowMillis);
+        TokenGrant grant =
+                mTokenBuckets.grant(member, state.mLimit, waiting.size(), role, nowMillis);
+        return applyGrant(state, waiting, grant, nowMillis);
     }
 
     private void sendRequest(
             String member,
-            MemberState borrower,
+            MemberState state,
             List<Consumer<RateLimitDecision>> waiting,
             Stage stage,
             Address to,
             long nowMillis) {
         long id = mNextId++;
-        borrower.mPending =
+        state.mPending =
                 new PendingRequest(id, stage, to, waiting, nowMillis + RESPONSE_TIMEOUT_MILLIS);
         mMemberByRequestId.put(id, member);
         mSender.send(to, new TokenMessage.Request(id, member, waiting.size(), false));
     }
 
-    // Lost datagrams make a home look silent that lends to others; its answer ends that at once.
-    private void probe(Address home, String member) {
-        mSender.send(home, new TokenMessage.Request(mNextId++, member, 0, true));
+    // Lost datagrams make an owner look unresponsive that grants to others; its response to a probe
+    // ends that at once.
+    private void probe(Address owner, String member) {
+        mSender.send(owner, new TokenMessage.Request(mNextId++, member, 0, true));
     }
 
     private boolean isUnresponsive(Address node, long nowMillis) {
@@ -289,198 +291,207 @@
         return untilMillis != null && nowMillis < untilMillis;
     }
 
-    /** Takes a message of another node. */
+    /** Handles a message from another node. */
     public void received(Address from, TokenMessage message, long nowMillis) {
         mUnresponsiveUntilMillis.remove(from);
         mLastContactMillis = nowMillis;
-        if (message instanceof TokenMessage.Request ask) {
-            handleRequest(from, ask, nowMillis);
-        } else if (message instanceof TokenMessage.Response reply) {
-            acquire(reply, nowMillis);
+        if (message instanceof TokenMessage.Request request) {
+            handleRequest(from, request, nowMillis);
+        } else if (message instanceof TokenMessage.Response response) {
+            handleResponse(response, nowMillis);
         }
     }
 
-    private void handleRequest(Address asker, TokenMessage.Request ask, long nowMillis) {
-        Address home = mOwners.owner(ask.member());
-        if (ask.isFinal() || mOwners.isOwner(ask.member()) || home.equals(asker)) {
-            respond(asker, ask, nowMillis);
+    private void handleRequest(Address requester, TokenMessage.Request request, long nowMillis) {
+        Address owner = mOwners.owner(request.member());
+        if (request.isFinal() || mOwners.isOwner(request.member()) || owner.equals(requester)) {
+            respond(requester, request, nowMillis);
             return;
         }
-        if (isUnresponsive(home, nowMillis)
-                || mForwardedRequests.size() >= MAX_FORWARDED_REQUESTS) {
-            probe(home, ask.member());
-            respond(asker, ask, nowMillis);
+        if (isUnresponsive(owner, nowMillis) || mForwarded.size() >= MAX_FORWARDED) {
+            probe(owner, request.member());
+            respond(requester, request, nowMillis);
             return;
         }
         long id = mNextId++;
-        mForwardedRequests.put(
-                id, new ForwardedRequest(asker, ask, home, nowMillis + FORWARD_TIMEOUT_MILLIS));
-        mSender.send(home, new TokenMessage.Request(id, ask.member(), ask.count(), true));
+        mForwarded.put(
+                id,
+                new ForwardedRequest(
+                        requester, request, owner, nowMillis + FORWARD_TIMEOUT_MILLIS));
+        mSender.send(owner, new TokenMessage.Request(id, request.member(), request.count(), true));
     }
 
-    private void respond(Address asker, TokenMessage.Request ask, long nowMillis) {
-        RateLimit limit = mLimits.apply(ask.member());
-        // This node's version may not have the member or its limit yet, or not any more.
-        TokenGrant answer =
+    private void respond(Address requester, TokenMessage.Request request, long nowMillis) {
+        RateLimit limit = mLimits.apply(request.member());
+        // This node's configuration may not have the member or its limit yet, or no longer have it.
+        TokenGrant grant =
                 limit == null
-                        ? new TokenGrant(ask.count(), 0)
+                        ? new TokenGrant(request.count(), 0)
                         : mTokenBuckets.grant(
-                                ask.member(), limit, ask.count(), roleFor(ask), nowMillis);
-        mSender.send(asker, new TokenMessage.Response(ask.id(), answer));
+                                request.member(),
+                                limit,
+                                request.count(),
+                                roleFor(request),
+                                nowMillis);
+        mSender.send(requester, new TokenMessage.Response(request.id(), grant));
     }
 
-    private MemberTokenBuckets.Role roleFor(TokenMessage.Request ask) {
-        boolean isHome = ask.isFinal() || mOwners.isOwner(ask.member());
-        return isHome ? MemberTokenBuckets.Role.OWNER : MemberTokenBuckets.Role.BACKUP_OWNER;
+    private MemberTokenBuckets.Role roleFor(TokenMessage.Request request) {
+        boolean isOwner = request.isFinal() || mOwners.isOwner(request.member());
+        return isOwner ? MemberTokenBuckets.Role.OWNER : MemberTokenBuckets.Role.BACKUP_OWNER;
     }
 
-    private void acquire(TokenMessage.Response reply, long nowMillis) {
-        ForwardedRequest relay = mForwardedRequests.remove(reply.id());
-        if (relay != null) {
+    private void handleResponse(TokenMessage.Response response, long nowMillis) {
+        ForwardedRequest forwarded = mForwarded.remove(response.id());
+        if (forwarded != null) {
             mSender.send(
-                    relay.requester(),
-                    new TokenMessage.Response(relay.request().id(), reply.grant()));
+                    forwarded.requester(),
+                    new TokenMessage.Response(forwarded.request().id(), response.grant()));
             return;
         }
-        String member = mMemberByRequestId.remove(reply.id());
+        String member = mMemberByRequestId.remove(response.id());
         if (member == null) {
             return;
         }
-        MemberState borrower = mMembers.get(member);
-        PendingRequest question = borrower.mPending;
-        borrower.mPending = null;
-        List<PendingDecision> told =
+        MemberState state = mMembers.get(member);
+        PendingRequest pending = state.mPending;
+        state.mPending = null;
+        List<PendingDecision> decisions =
                 new ArrayList<>(
-                        question.stage() == Stage.CONNECTIVITY_CHECK
-                                ? grantLocally(member, borrower, question.waiting(), nowMillis)
+                        pending.stage() == Stage.CONNECTIVITY_CHECK
+                                ? grantLocally(member, state, pending.waiting(), nowMillis)
                                 : applyGrant(
-                                        borrower, question.waiting(), reply.grant(), nowMillis));
-        told.addAll(processQueue(member, borrower, nowMillis));
-        told.forEach(PendingDecision::deliver);
+                                        state, pending.waiting(), response.grant(), nowMillis));
+        decisions.addAll(processQueue(member, state, nowMillis));
+        decisions.forEach(PendingDecision::deliver);
     }
 
-    private List<PendingDecision> processQueue(
-            String member, MemberState borrower, long nowMillis) {
-        if (nowMillis < borrower.mRefusedUntilMillis) {
-            List<Consumer<RateLimitDecision>> waiting = new ArrayList<>(borrower.mQueue);
-            borrower.mQueue.clear();
+    private List<PendingDecision> processQueue(String member, MemberState state, long nowMillis) {
+        if (nowMillis < state.mRefusedUntilMillis) {
+            List<Consumer<RateLimitDecision>> waiting = new ArrayList<>(state.mQueue);
+            state.mQueue.clear();
             RateLimitDecision refused =
-                    new RateLimitDecision.Refused(Math.max(1, borrower.mRetryAtMillis - nowMillis));
-            return waiting.stream().map(request -> new PendingDecision(request, refused)).toList();
+                    new RateLimitDecision.Refused(Math.max(1, state.mRetryAtMillis - nowMillis));
+            return waiting.stream()
+                    .map(callback -> new PendingDecision(callback, refused))
+                    .toList();
         }
-        List<PendingDecision> told = sendNextRequest(member, borrower, nowMillis);
-        if (borrower.isIdle(nowMillis)) {
+        List<PendingDecision> decisions = sendNextRequest(member, state, nowMillis);
+        if (state.isIdle(nowMillis)) {
             mMembers.remove(member);
         }
-        return told;
+        return decisions;
     }
 
     private static List<PendingDecision> applyGrant(
-            MemberState borrower,
+            MemberState state,
             List<Consumer<RateLimitDecision>> waiting,
-            TokenGrant answer,
+            TokenGrant grant,
             long nowMillis) {
-        List<PendingDecision> told = new ArrayList<>(waiting.size());
+        List<PendingDecision> decisions = new ArrayList<>(waiting.size());
         for (int i = 0; i < waiting.size(); i++) {
-            boolean isGranted = i < answer.granted();
-            told.add(
+            boolean isGranted = i < grant.granted();
+            decisions.add(
                     new PendingDecision(
                             waiting.get(i),
                             isGranted
                                     ? RateLimitDecision.GRANTED
                                     : new RateLimitDecision.Refused(
-                                            Math.max(1, answer.retryAfterMillis()))));
+                                            Math.max(1, grant.retryAfterMillis()))));
         }
-        if (answer.granted() < waiting.size()) {
-            borrower.mRetryAtMillis = nowMillis + answer.retryAfterMillis();
-            borrower.mRefusedUntilMillis =
-                    nowMillis + Math.min(REFUSAL_CACHE_MILLIS, answer.retryAfterMillis());
+        if (grant.granted() < waiting.size()) {
+            state.mRetryAtMillis = nowMillis + grant.retryAfterMillis();
+            state.mRefusedUntilMillis =
+                    nowMillis + Math.min(REFUSAL_CACHE_MILLIS, grant.retryAfterMillis());
         }
-        return told;
+        return decisions;
     }
 
     private List<PendingDecision> applyFallbackQuota(
             String member,
-            MemberState borrower,
+            MemberState state,
             List<Consumer<RateLimitDecision>> waiting,
             long nowMillis) {
-        List<PendingDecision> told = new ArrayList<>(waiting.size());
+        List<PendingDecision> decisions = new ArrayList<>(waiting.size());
         int rank = mOwners.rank(member);
-        for (Consumer<RateLimitDecision> request : waiting) {
-            boolean isGranted = mFallbackQuota.tryAcquire(member, borrower.mLimit, rank, nowMillis);
-            told.add(
+        for (Consumer<RateLimitDecision> callback : waiting) {
+            boolean isGranted = mFallbackQuota.tryAcquire(member, state.mLimit, rank, nowMillis);
+            decisions.add(
                     new PendingDecision(
-                            request,
+                            callback,
                             isGranted ? RateLimitDecision.GRANTED : RateLimitDecision.UNKNOWN));
         }
-        return told;
+        return decisions;
     }
 
-    /** Goes on without those that did not answer in time. */
+    /** Handles requests that have timed out. */
     public void expire(long nowMillis) {
         expireForwardedRequests(nowMillis);
-        List<String> late = new ArrayList<>();
+        List<String> expired = new ArrayList<>();
         for (String member : mMemberByRequestId.values()) {
             if (nowMillis >= mMembers.get(member).mPending.deadlineMillis()) {
-                late.add(member);
+                expired.add(member);
             }
         }
-        List<PendingDecision> told = new ArrayList<>();
-        for (String member : late) {
-            told.addAll(handleTimeout(member, mMembers.get(member), nowMillis));
+        List<PendingDecision> decisions = new ArrayList<>();
+        for (String member : expired) {
+            decisions.addAll(handleTimeout(member, mMembers.get(member), nowMillis));
         }
-        told.forEach(PendingDecision::deliver);
+        decisions.forEach(PendingDecision::deliver);
     }
 
-    private List<PendingDecision> handleTimeout(
-            String member, MemberState borrower, long nowMillis) {
-        PendingRequest late = borrower.mPending;
-        mMemberByRequestId.remove(late.id());
-        if (late.stage() == Stage.OWNER) {
+    private List<PendingDecision> handleTimeout(String member, MemberState state, long nowMillis) {
+        PendingRequest expired = state.mPending;
+        mMemberByRequestId.remove(expired.id());
+        if (expired.stage() == Stage.OWNER) {
             sendRequest(
-                    member, borrower, late.waiting(), Stage.OWNER_RETRY, late.grantor(), nowMillis);
+                    member,
+                    state,
+                    expired.waiting(),
+                    Stage.OWNER_RETRY,
+                    expired.grantor(),
+                    nowMillis);
             return List.of();
         }
-        if (late.grantor() != null) {
-            mUnresponsiveUntilMillis.put(late.grantor(), nowMillis + UNRESPONSIVE_MILLIS);
+        if (expired.grantor() != null) {
+            mUnresponsiveUntilMillis.put(expired.grantor(), nowMillis + UNRESPONSIVE_MILLIS);
         }
-        if (late.stage() == Stage.OWNER_RETRY) {
-            List<PendingDecision> told =
-                    requestFromBackupOwner(member, borrower, late.waiting(), nowMillis);
-            return borrower.mPending == null
-                    ? andProcessQueue(told, member, borrower, nowMillis)
-                    : told;
+        if (expired.stage() == Stage.OWNER_RETRY) {
+            List<PendingDecision> decisions =
+                    requestFromBackupOwner(member, state, expired.waiting(), nowMillis);
+            return state.mPending == null
+                    ? appendQueueDecisions(decisions, member, state, nowMillis)
+                    : decisions;
         }
-        borrower.mPending = null;
-        List<PendingDecision> told =
-                applyFallbackQuota(member, borrower, late.waiting(), nowMillis);
-        return andProcessQueue(told, member, borrower, nowMillis);
+        state.mPending = null;
+        List<PendingDecision> decisions =
+                applyFallbackQuota(member, state, expired.waiting(), nowMillis);
+        return appendQueueDecisions(decisions, member, state, nowMillis);
     }
 
-    private List<PendingDecision> andProcessQueue(
-            List<PendingDecision> told, String member, MemberState borrower, long nowMillis) {
-        List<PendingDecision> all = new ArrayList<>(told);
-        all.addAll(processQueue(member, borrower, nowMillis));
+    private List<PendingDecision> appendQueueDecisions(
+            List<PendingDecision> decisions, String member, MemberState state, long nowMillis) {
+        List<PendingDecision> all = new ArrayList<>(decisions);
+        all.addAll(processQueue(member, state, nowMillis));
         return all;
     }
 
     private void expireForwardedRequests(long nowMillis) {
-        List<ForwardedRequest> late = new ArrayList<>();
-        for (Iterator<ForwardedRequest> relays = mForwardedRequests.values().iterator();
-                relays.hasNext(); ) {
-            ForwardedRequest relay = relays.next();
-            if (nowMillis >= relay.deadlineMillis()) {
-                relays.remove();
-                late.add(relay);
+        List<ForwardedRequest> expired = new ArrayList<>();
+        for (Iterator<ForwardedRequest> it = mForwarded.values().iterator(); it.hasNext(); ) {
+            ForwardedRequest forwarded = it.next();
+            if (nowMillis >= forwarded.deadlineMillis()) {
+                it.remove();
+                expired.add(forwarded);
             }
         }
-        for (ForwardedRequest relay : late) {
-            mUnresponsiveUntilMillis.put(relay.owner(), nowMillis + UNRESPONSIVE_MILLIS);
-            respond(relay.requester(), relay.request(), nowMillis);
+        for (ForwardedRequest forwarded : expired) {
+            mUnresponsiveUntilMillis.put(forwarded.owner(), nowMillis + UNRESPONSIVE_MILLIS);
+            respond(forwarded.requester(), forwarded.request(), nowMillis);
         }
     }
 
-    /** Returns the node that counts the member's tokens. */
+    /** Returns the node that owns the member and counts its tokens. */
     public Address owner(String member) {
         return mOwners.owner(member);
     }
--- a/src/main/java/org/apricotgauge/decision/ratelimit/FallbackQuota.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/FallbackQuota.java
@@ -6,11 +6,11 @@
 import org.apricotgauge.model.RateLimit;
 
 /**
- * What a node may grant alone while no lender answers.
+ * Grants requests locally while neither the owner nor the backup owner can grant tokens.
  *
- * <p>The operator tolerates some requests beyond a limit. Half of those of a window are dealt out
- * to the nodes that come first in the member's order, one each, so that they hold in sum however
- * many nodes are out of touch. Not thread-safe.
+ * <p>The operator tolerates some requests beyond a limit. Half of those of a window are assigned to
+ * the nodes that come first in the member's order, one each, so that their sum is bounded however
+ * many nodes are isolated. Not thread-safe.
  */
 public final class FallbackQuota {
     private static final double TOLERANCE_FRACTION = 0.5;
@@ -20,17 +20,17 @@
     private final Map<String, Long> mLastGrantMillis = new HashMap<>();
 
     /**
-     * What the operator tolerates beyond a limit.
+     * The requests beyond a limit that the operator tolerates.
      *
      * @param windowSeconds length of the windows in which requests are counted
-     * @param share part of what the limit allows in a window, from 0
-     * @param slack requests in a window besides, from 0
+     * @param share fraction of the requests that the limit allows in a window, at least 0
+     * @param slack additional requests per window, at least 0
      */
     public record Tolerance(double windowSeconds, double share, double slack) {
         /** Tolerates nothing. */
         public static final Tolerance NONE = new Tolerance(1, 0, 0);
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Tolerance {
             Checks.inRange("tolerance.windowSeconds", windowSeconds, 0.001, 1e6);
             Checks.inRange("tolerance.share", share, 0.0, 1e6);
@@ -43,23 +43,23 @@
         }
     }
 
-    /** Creates the reserve of one node. */
+    /** Creates the quota of one node. */
     public FallbackQuota(Tolerance tolerance) {
         mTolerance = Checks.notNull("tolerance", tolerance);
     }
 
     /**
-     * Takes the node's one request of a window, if it has one.
+     * Grants a request if this node has one to grant and has not used it in the current window.
      *
-     * @param rank how many nodes stand before this one in the member's order
+     * @param rank how many nodes precede this one in the member's order
      */
     public boolean tryAcquire(String member, RateLimit limit, int rank, long nowMillis) {
         if (rank >= Math.floor(TOLERANCE_FRACTION * mTolerance.toleratedRequests(limit))) {
             return false;
         }
         long windowMillis = (long) (mTolerance.windowSeconds() * MILLIS_PER_SECOND);
-        Long usedMillis = mLastGrantMillis.get(member);
-        if (usedMillis != null && nowMillis - usedMillis <= windowMillis) {
+        Long lastGrantMillis = mLastGrantMillis.get(member);
+        if (lastGrantMillis != null && nowMillis - lastGrantMillis <= windowMillis) {
             return false;
         }
         mLastGrantMillis.put(member, nowMillis);
--- a/src/main/java/org/apricotgauge/decision/ratelimit/MemberOwners.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/MemberOwners.java
@@ -8,15 +8,15 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * The nodes at which members' tokens are counted, worked out alike by every node; immutable.
+ * Assigns to each member the node that owns it and counts its tokens; every node computes the same
+ * owners. Immutable.
  *
  * <pre>{@code
- * Homes homes = Homes.of(self, others);
- * Address home = homes.home("team-7");
+ * MemberOwners owners = MemberOwners.of(self, others);
+ * Address owner = owners.owner("team-7");
  * }</pre>
  *
- * <p>Rendezvous hashing: a node that comes or goes moves the members that it is the home of, and no
- * others.
+ * <p>Uses rendezvous hashing: adding or removing a node moves only the members that this node owns.
  */
 public final class MemberOwners {
     private static final long MIX_1 = 0xbf58476d1ce4e5b9L;
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Returns the homes of a fleet.
+     * Returns the owners in a fleet.
      *
-     * @param self the node's own address, as others know it
+     * @param self address of this node, as other nodes use it
      * @param others addresses of all other nodes
      */
     public static MemberOwners of(Address self, List<Address> others) {
@@ -49,47 +49,47 @@
         return new MemberOwners(self, nodes, hashes);
     }
 
-    /** Returns the node that counts the member's tokens. */
+    /** Returns the node that owns the member and counts its tokens. */
     public Address owner(String member) {
-        return mNodes[lowestScore(hashOf(member), -1)];
+        return mNodes[nodeWithLowestScore(hashOf(member), -1)];
     }
 
-    /** Returns the node that stands in for the home; nothing if there is no other node. */
+    /** Returns the node that replaces an unresponsive owner; empty if there is no other node. */
     public Optional<Address> backupOwner(String member) {
         long hash = hashOf(member);
-        int second = lowestScore(hash, lowestScore(hash, -1));
+        int second = nodeWithLowestScore(hash, nodeWithLowestScore(hash, -1));
         return second < 0 ? Optional.empty() : Optional.of(mNodes[second]);
     }
 
-    /** Returns whether this node is the member's home. */
+    /** Returns whether this node owns the member. */
     public boolean isOwner(String member) {
         return owner(member).equals(mSelf);
     }
 
-    /** Returns some other nodes, which depend on the number given; fewer if there are fewer. */
+    /** Returns up to {@code count} other nodes, selected by the number. */
     public List<Address> otherNodes(long number, int count) {
         int others = mNodes.length - 1;
-        List<Address> some = new ArrayList<>(count);
+        List<Address> selected = new ArrayList<>(count);
         for (int i = 0; i < Math.min(count, others); i++) {
-            some.add(mNodes[1 + (int) Math.floorMod(number + i, (long) others)]);
+            selected.add(mNodes[1 + (int) Math.floorMod(number + i, (long) others)]);
         }
-        return some;
+        return selected;
     }
 
-    /** Returns how many nodes stand before this one in the member's order; 0 for its home. */
+    /** Returns how many nodes precede this one in the member's order; 0 for its owner. */
     public int rank(String member) {
         long hash = hashOf(member);
-        long own = scoreOf(hash, 0);
-        int before = 0;
+        long ownScore = scoreOf(hash, 0);
+        int rank = 0;
         for (int i = 1; i < mNodes.length; i++) {
-            if (Long.compareUnsigned(scoreOf(hash, i), own) < 0) {
-                before++;
+            if (Long.compareUnsigned(scoreOf(hash, i), ownScore) < 0) {
+                rank++;
             }
         }
-        return before;
+        return rank;
     }
 
-    private int lowestScore(long memberHash, int except) {
+    private int nodeWithLowestScore(long memberHash, int except) {
         int lowest = -1;
         for (int i = 0; i < mNodes.length; i++) {
             if (i != except
--- a/src/main/java/org/apricotgauge/decision/ratelimit/MemberTokenBuckets.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/MemberTokenBuckets.java
@@ -6,48 +6,48 @@
 import org.apricotgauge.model.RateLimit;
 
 /**
- * Counts the tokens of the members whose home this node is, or whose home is silent.
+ * Counts the tokens of the members that this node owns, or whose owner does not respond.
  *
  * <pre>{@code
- * Answer answer = lender.lend("team-7", limit, 3, Lender.Role.HOME, nowMillis);
+ * TokenGrant grant = buckets.grant("team-7", limit, 3, MemberTokenBuckets.Role.OWNER, nowMillis);
  * }</pre>
  *
- * <p>A bucket that is made anew may follow one at another node, or at this node before a restart,
- * whose savings are spent. It starts with a quarter of a second's tokens, that of a home also with
- * what has come in since the fleet last changed, so that two buckets in turn grant little more than
- * one would. Not thread-safe.
+ * <p>A new bucket may replace one at another node, or at this node before a restart, whose saved
+ * tokens are already spent. It therefore starts with the tokens of a quarter of a second, at an
+ * owner also with those of the time since the fleet last changed, so that two successive buckets
+ * grant little more than one would. Not thread-safe.
  */
 public final class MemberTokenBuckets {
-    /** Tokens that a new bucket starts with, as time of its rate, in seconds. */
+    /** Initial fill of a new bucket, in seconds of the member's rate. */
     static final double INITIAL_FILL_SECONDS = 0.25;
 
-    /** Nobody is told to come back later than this, in milliseconds. */
+    /** Upper bound of the retry delay, in milliseconds. */
     static final long MAX_RETRY_AFTER_MILLIS = 10_000;
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
 
-    /** Part of the tolerated slack that may be saved up; the rest is for nodes out of touch. */
+    /** Fraction of the tolerated slack added to the burst; the rest is for isolated nodes. */
     static final double EXTRA_BURST_FRACTION = 0.25;
 
     private final Map<String, Bucket> mBuckets = new HashMap<>();
     private final double mExtraBurst;
     private long mFleetChangedMillis;
 
-    /** On what grounds a node lends. */
+    /** Role in which a node grants tokens. */
     public enum Role {
-        /** It is the member's home. */
+        /** The node owns the member. */
         OWNER,
-        /** The home does not answer; it may still lend to others. */
+        /** The owner does not respond to this node, but may still grant tokens to others. */
         BACKUP_OWNER
     }
 
-    /** Creates a lender that begins now. */
+    /** Creates an instance without buckets. */
     public MemberTokenBuckets(FallbackQuota.Tolerance tolerance, long nowMillis) {
         mExtraBurst = EXTRA_BURST_FRACTION * tolerance.slack();
         mFleetChangedMillis = nowMillis;
     }
 
-    /** The tokens of one member. */
+    /** Tokens of one member. */
     private static final class Bucket {
         private double mTokens;
         private long mLastRefillMillis;
@@ -55,40 +55,41 @@
     }
 
     /**
-     * Takes in that nodes came or went; buckets of members that have another home now are dropped.
+     * Called when nodes joined or left; drops the buckets of members that have another owner now.
      *
-     * @param isHome whether this node is a member's home
+     * @param isOwner returns whether this node owns a member
      */
-    public void fleetChanged(Predicate<String> isHome, long nowMillis) {
+    public void fleetChanged(Predicate<String> isOwner, long nowMillis) {
         mFleetChangedMillis = nowMillis;
-        mBuckets.keySet().removeIf(member -> !isHome.test(member));
+        mBuckets.keySet().removeIf(member -> !isOwner.test(member));
     }
 
     /**
-     * Takes tokens of a member, as many of those that are asked for as there are.
+     * Grants as many of the requested tokens of a member as are available.
      *
-     * @param limit the limit as this node knows it
+     * @param limit the member's limit in the configuration of this node
      */
-    public TokenGrant grant(String member, RateLimit limit, int asked, Role role, long nowMillis) {
+    public TokenGrant grant(
+            String member, RateLimit limit, int requested, Role role, long nowMillis) {
         Bucket bucket = mBuckets.computeIfAbsent(member, id -> newBucket(limit, role, nowMillis));
         refill(bucket, limit, nowMillis);
-        int granted = (int) Math.min(asked, Math.floor(bucket.mTokens));
+        int granted = (int) Math.min(requested, Math.floor(bucket.mTokens));
         bucket.mTokens -= granted;
         long retryAfterMillis =
-                granted == asked ? 0 : assignRetryAfterMillis(bucket, limit, nowMillis);
+                granted == requested ? 0 : assignRetryAfterMillis(bucket, limit, nowMillis);
         return new TokenGrant(granted, retryAfterMillis);
     }
 
     private Bucket newBucket(RateLimit limit, Role role, long nowMillis) {
         Bucket bucket = new Bucket();
-        long savedMillis = role == Role.OWNER ? nowMillis - mFleetChangedMillis : 0;
-        double seconds = INITIAL_FILL_SECONDS + savedMillis / MILLIS_PER_SECOND;
+        long accruedMillis = role == Role.OWNER ? nowMillis - mFleetChangedMillis : 0;
+        double seconds = INITIAL_FILL_SECONDS + accruedMillis / MILLIS_PER_SECOND;
         bucket.mTokens = Math.max(1, limit.requestsPerSecond() * seconds);
         bucket.mLastRefillMillis = nowMillis;
         return bucket;
     }
 
-    // A whole token must fit in, or nothing would ever be granted.
+    // The capacity must be at least one token, or nothing would ever be granted.
     private void refill(Bucket bucket, RateLimit limit, long nowMillis) {
         double seconds = Math.max(0, nowMillis - bucket.mLastRefillMillis) / MILLIS_PER_SECOND;
         double tokens = bucket.mTokens + seconds * limit.requestsPerSecond();
@@ -96,20 +97,20 @@
         bucket.mLastRefillMillis = nowMillis;
     }
 
-    // Sent back all at the same moment, those refused would find one token among them.
+    // If all refused callers retried at the same moment, they would compete for a single token.
     private static long assignRetryAfterMillis(Bucket bucket, RateLimit limit, long nowMillis) {
         double tokenMillis = MILLIS_PER_SECOND / limit.requestsPerSecond();
-        double nextMillis = nowMillis + (1 - Math.min(1, bucket.mTokens)) * tokenMillis;
+        double nextTokenMillis = nowMillis + (1 - Math.min(1, bucket.mTokens)) * tokenMillis;
         double latestMillis = nowMillis + (double) MAX_RETRY_AFTER_MILLIS;
-        double promisedMillis =
+        double retryAtMillis =
                 Math.min(
                         latestMillis,
-                        Math.max(nextMillis, bucket.mLastRetryAtMillis + tokenMillis));
-        bucket.mLastRetryAtMillis = promisedMillis;
-        return Math.max(1, (long) Math.ceil(promisedMillis - nowMillis));
+                        Math.max(nextTokenMillis, bucket.mLastRetryAtMillis + tokenMillis));
+        bucket.mLastRetryAtMillis = retryAtMillis;
+        return Math.max(1, (long) Math.ceil(retryAtMillis - nowMillis));
     }
 
-    /** Returns the tokens left of a member; 0 if nothing is counted here. */
+    /** Returns the tokens available to a member; 0 if it has no bucket here. */
     double availableTokens(String member) {
         Bucket bucket = mBuckets.get(member);
         return bucket == null ? 0 : bucket.mTokens;
--- a/src/main/java/org/apricotgauge/decision/ratelimit/RateLimitDecision.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/RateLimitDecision.java
@@ -1,23 +1,23 @@
 package org.apricotgauge.decision.ratelimit;
 
-/** Whether a request may run, by its member's limit. */
+/** Decision whether the rate limit of its member allows a request. */
 public sealed interface RateLimitDecision {
-    /** It may. */
+    /** The limit allows the request. */
     RateLimitDecision GRANTED = new Granted();
 
-    /** Nobody who counts the member's requests could be asked. */
+    /** No node that counts the member's tokens could be reached. */
     RateLimitDecision UNKNOWN = new Unknown();
 
-    /** It may run. */
+    /** The request may run. */
     record Granted() implements RateLimitDecision {}
 
     /**
-     * The member has asked for more than its limit.
+     * The member has exceeded its limit.
      *
-     * @param retryAfterMillis when a token will be there, in milliseconds
+     * @param retryAfterMillis time until a token is available, in milliseconds
      */
     record Refused(long retryAfterMillis) implements RateLimitDecision {}
 
-    /** Nobody who counts the member's requests answers. */
+    /** No node that counts the member's tokens responds. */
     record Unknown() implements RateLimitDecision {}
 }
--- a/src/main/java/org/apricotgauge/decision/ratelimit/TokenGrant.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/TokenGrant.java
@@ -3,16 +3,16 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * What a lender says to a question for tokens.
+ * The tokens granted in response to a request.
  *
- * @param granted tokens that the asker may use now
- * @param retryAfterMillis when a token will be there for those that got none, in milliseconds; 0 if
- *     all got one
+ * @param granted number of tokens that the requester may use now
+ * @param retryAfterMillis time until a token is available to those that got none, in milliseconds;
+ *     0 if all got one
  */
 public record TokenGrant(int granted, long retryAfterMillis) {
-    /** Checks the parts. */
+    /** Validates the components. */
     public TokenGrant {
-        Checks.inRange("answer.granted", granted, 0, Integer.MAX_VALUE);
-        Checks.inRange("answer.retryAfterMillis", retryAfterMillis, 0, Long.MAX_VALUE);
+        Checks.inRange("grant.granted", granted, 0, Integer.MAX_VALUE);
+        Checks.inRange("grant.retryAfterMillis", retryAfterMillis, 0, Long.MAX_VALUE);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/ratelimit/TokenMessage.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/TokenMessage.java
@@ -2,41 +2,41 @@
 
 import org.apricotgauge.model.Checks;
 
-/** What nodes say to each other about tokens; one message a datagram. */
+/** A message between nodes about tokens, sent as one datagram. */
 public sealed interface TokenMessage {
 
-    /** Returns the number that the asker gave the question. */
+    /** Returns the id that the requester assigned to the request. */
     long id();
 
     /**
-     * A question for tokens.
+     * A request for tokens.
      *
-     * @param id number of the question, unique at the asker
-     * @param member whose tokens
-     * @param count how many; 0 only asks whether the other one answers
-     * @param isFinal whether the one asked is to answer itself, and ask nobody else
+     * @param id id of the request, unique at the requester
+     * @param member the member whose tokens are requested
+     * @param count number of tokens; 0 only probes whether the receiver responds
+     * @param isFinal whether the receiver must grant tokens itself and not forward the request
      */
     record Request(long id, String member, int count, boolean isFinal) implements TokenMessage {
-        /** Most tokens that one question asks for. */
+        /** Maximum number of tokens of one request. */
         public static final int MAX_COUNT = 10_000;
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Request {
-            Checks.id("ask.member", member);
-            Checks.inRange("ask.count", count, 0, MAX_COUNT);
+            Checks.id("request.member", member);
+            Checks.inRange("request.count", count, 0, MAX_COUNT);
         }
     }
 
     /**
-     * The answer to a question.
+     * The response to a request.
      *
-     * @param id number of the question
-     * @param grant what is granted
+     * @param id id of the request
+     * @param grant the granted tokens
      */
     record Response(long id, TokenGrant grant) implements TokenMessage {
-        /** Checks the parts. */
+        /** Validates the components. */
         public Response {
-            Checks.notNull("answer", grant);
+            Checks.notNull("grant", grant);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/decision/ratelimit/package-info.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Keeps members to their limits over all nodes together, with nothing shared but datagrams.
+ * Enforces the rate limits of members across all nodes, which exchange only datagrams.
  *
- * <p>Each member has a home, the node that all nodes work out alike; it counts the member's tokens.
- * An entry asks the home for a token before it sends a request on. See docs/design/allotments.md.
+ * <p>Each member has an owner, which every node computes alike and which counts the member's
+ * tokens. An entry requests a token from the owner before it forwards a request. See
+ * docs/design/allotments.md.
  */
 package org.apricotgauge.decision.ratelimit;
--- a/src/test/java/org/apricotgauge/decision/RendezvousOrderTest.java
+++ b/src/test/java/org/apricotgauge/decision/RendezvousOrderTest.java
@@ -30,9 +30,9 @@
     @Test
     void removingAMemberKeepsTheOrderOfTheOthers() {
         List<String> order = orderOf("a", MEMBERS);
-        List<String> left = new ArrayList<>(MEMBERS);
-        left.remove(order.get(0));
+        List<String> remaining = new ArrayList<>(MEMBERS);
+        remaining.remove(order.get(0));
 
-        assertThat(orderOf("a", left)).isEqualTo(order.subList(1, order.size()));
+        assertThat(orderOf("a", remaining)).isEqualTo(order.subList(1, order.size()));
     }
 }
--- a/src/test/java/org/apricotgauge/decision/quarantine/CrashGossipSimulation.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/CrashGossipSimulation.java
@@ -11,7 +11,7 @@
 import org.apricotgauge.model.Address;
 import org.apricotgauge.time.ManualTicker;
 
-/** Nodes that tell each other of crashes; messages take a tick, or are lost. */
+/** Simulates nodes that exchange crash gossip; messages take one tick or are lost. */
 final class CrashGossipSimulation {
     static final int TICK_MILLIS = 100;
     private static final int DOMAINS = 3;
@@ -27,9 +27,9 @@
     private long mCrashId = 1;
     private int mMessagesSent;
 
-    CrashGossipSimulation(int nodes, double lost, long seed) {
+    CrashGossipSimulation(int nodes, double lossProbability, long seed) {
         mRandom = new SplittableRandom(seed);
-        mLossProbability = lost;
+        mLossProbability = lossProbability;
         for (int i = 0; i < nodes; i++) {
             mTables.add(null);
             mGossips.add(null);
@@ -54,16 +54,16 @@
     }
 
     private CrashGossip.Peers peersOf(int node) {
-        List<Address> near = new ArrayList<>();
-        List<Address> after = new ArrayList<>();
+        List<Address> sameDomain = new ArrayList<>();
+        List<Address> successors = new ArrayList<>();
         for (int i = 1; i < mTables.size(); i++) {
             int peer = (node + i) % mTables.size();
-            after.add(address(peer));
+            successors.add(address(peer));
             if (peer % DOMAINS == node % DOMAINS) {
-                near.add(address(peer));
+                sameDomain.add(address(peer));
             }
         }
-        return new CrashGossip.Peers(near, after);
+        return new CrashGossip.Peers(sameDomain, successors);
     }
 
     private static Address address(int node) {
@@ -82,12 +82,12 @@
         }
     }
 
-    /** Nodes for which this holds are cut off from the others. */
-    void partition(IntPredicate isCut) {
-        mIsPartitioned = isCut;
+    /** Partitions the nodes for which the predicate holds from the others. */
+    void partition(IntPredicate isPartitioned) {
+        mIsPartitioned = isPartitioned;
     }
 
-    /** Lets a target end at each of the nodes, with this request at work. */
+    /** Crashes a target at each of the nodes while it runs the request. */
     void crashAt(Fingerprint fingerprint, int... nodes) {
         for (int node : nodes) {
             mTables.get(node).recordCrash(List.of(fingerprint), mCrashId++);
@@ -105,15 +105,15 @@
         }
     }
 
-    /** Returns the nodes that would let the request through. */
+    /** Returns the nodes that would run the request. */
     Set<Integer> nodesNotQuarantining(Fingerprint fingerprint) {
-        Set<Integer> ignorant = new HashSet<>();
+        Set<Integer> nodes = new HashSet<>();
         for (int i = 0; i < mTables.size(); i++) {
             if (mTables.get(i).remainingQuarantineMillis(fingerprint) == 0) {
-                ignorant.add(i);
+                nodes.add(i);
             }
         }
-        return ignorant;
+        return nodes;
     }
 
     QuarantineTable table(int node) {
@@ -140,7 +140,7 @@
         return mLinesSentByNode.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    /** Lets a node pass on what it learns. */
+    /** Gossips the urgent changes of a node. */
     private final class GossipingListener implements QuarantineListener {
         private final int mNode;
 
@@ -149,7 +149,7 @@
         }
 
         @Override
-        public void quarantined(Fingerprint fingerprint, int crashes, long heldMillis) {}
+        public void quarantined(Fingerprint fingerprint, int crashes, long quarantineMillis) {}
 
         @Override
         public void released(Fingerprint fingerprint) {}
--- a/src/test/java/org/apricotgauge/decision/quarantine/CrashGossipTest.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/CrashGossipTest.java
@@ -7,39 +7,39 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** News of crashes in a simulated fleet whose messages are lost, and whose nodes come and go. */
+/** Tests crash gossip in a simulated fleet with lost messages, restarts and partitions. */
 class CrashGossipTest {
     private static final Fingerprint LETHAL = new Fingerprint(1, 0);
 
-    /** Within so much, every node shall know of a request that is held. */
+    /** Time within which every node must quarantine the request. */
     private static final int PROPAGATION_BOUND_MILLIS = 3_000;
 
     private static final int SEEDS = 50;
 
-    /** Ten seconds of a third of what control may cost a node, and a burst. */
+    /** Ten seconds at a third of a node's budget for control traffic, and a burst. */
     private static final int MAX_BYTES = 10 * 8_600 + 32_000;
 
     private static final int MIN_LINE_BYTES = 38;
 
-    // Guards against a copy that is let through where the crashes were not seen: three nodes see
-    // one crash each, and a part of all messages is lost.
+    // Guards against a duplicate that runs where the crashes were not observed: three nodes observe
+    // one crash each, and some messages are lost.
     @ParameterizedTest
     @CsvSource({"24,0.0", "24,0.1", "24,0.3", "113,0.1", "1000,0.1"})
-    void crashesSeenByThreeNodesReachAllInTime(int nodes, double lost) {
+    void crashesSeenByThreeNodesReachAllInTime(int nodes, double lossProbability) {
         for (int seed = 0; seed < (nodes > 200 ? 3 : SEEDS); seed++) {
-            CrashGossipSimulation fleet = new CrashGossipSimulation(nodes, lost, seed);
+            CrashGossipSimulation fleet = new CrashGossipSimulation(nodes, lossProbability, seed);
             fleet.crashAt(LETHAL, 0, 1, 2);
             fleet.run(PROPAGATION_BOUND_MILLIS);
             assertThat(fleet.nodesNotQuarantining(LETHAL)).as("seed %d", seed).isEmpty();
         }
     }
 
-    // Guards against a node that was not there when the news went round.
+    // Guards against a node that had not started yet when the records were sent.
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1})
-    void aRestartedNodeCatchesUpInTime(double lost) {
+    void aRestartedNodeCatchesUpInTime(double lossProbability) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            CrashGossipSimulation fleet = new CrashGossipSimulation(24, lost, seed);
+            CrashGossipSimulation fleet = new CrashGossipSimulation(24, lossProbability, seed);
             fleet.crashAt(LETHAL, 0, 1, 2);
             fleet.run(10_000);
             fleet.restart(7);
@@ -48,12 +48,12 @@
         }
     }
 
-    // Guards against a node that was cut off when the news went round, and does not know it.
+    // Guards against a node that was partitioned unnoticed when the records were sent.
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1})
-    void aNodeCatchesUpInTimeAfterAPartition(double lost) {
+    void aNodeCatchesUpInTimeAfterAPartition(double lossProbability) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            CrashGossipSimulation fleet = new CrashGossipSimulation(24, lost, seed);
+            CrashGossipSimulation fleet = new CrashGossipSimulation(24, lossProbability, seed);
             fleet.partition(node -> node == 7);
             fleet.crashAt(LETHAL, 0, 1, 2);
             fleet.run(10_000);
@@ -63,12 +63,12 @@
         }
     }
 
-    // Guards against half a proof on each side of a cut.
+    // Guards against too few crashes for a quarantine on each side of a partition.
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1})
-    void bothSidesOfAPartitionMergeTheirCrashesOnceItHeals(double lost) {
+    void bothSidesOfAPartitionMergeTheirCrashesOnceItHeals(double lossProbability) {
         for (int seed = 0; seed < SEEDS; seed++) {
-            CrashGossipSimulation fleet = new CrashGossipSimulation(24, lost, seed);
+            CrashGossipSimulation fleet = new CrashGossipSimulation(24, lossProbability, seed);
             fleet.partition(node -> node < 12);
             fleet.crashAt(LETHAL, 0, 12, 13);
             fleet.run(10_000);
@@ -78,7 +78,7 @@
         }
     }
 
-    // Guards against a guard that dies with its target before anybody asks it.
+    // Guards against a guard that crashes with its target before any node requests its records.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void crashesReportedByANodeSurviveItsRestart(long seed) {
@@ -92,7 +92,7 @@
         assertThat(fleet.nodesNotQuarantining(LETHAL)).isEmpty();
     }
 
-    // Guards against refusing a popular request after a wave of crashes: one node saw it end well.
+    // Guards against refusing a popular request after a wave of crashes: one node saw it succeed.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void oneSuccessfulRunClearsARequestEverywhere(long seed) {
@@ -105,7 +105,7 @@
         assertThat(fleet.nodesNotQuarantining(LETHAL)).hasSize(24);
     }
 
-    // Guards against an attacker whose invented requests make nodes talk without bound.
+    // Guards against an attacker whose invented requests cause unbounded gossip.
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void theBytesThatANodeSendsAreBounded(long seed) {
@@ -119,7 +119,7 @@
         assertThat(fleet.maxLinesSentByANode()).isLessThan(MAX_BYTES / MIN_LINE_BYTES);
     }
 
-    // Guards against traffic on a site where nothing crashes.
+    // Guards against traffic in a fleet where nothing crashes.
     @ParameterizedTest
     @ValueSource(ints = {24})
     void nothingIsSentWithoutCrashes(int nodes) {
--- a/src/test/java/org/apricotgauge/decision/quarantine/CrashRecordProperties.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/CrashRecordProperties.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Records come to the same, in whatever order and however often news arrives. */
+/** Merged records do not depend on the order in which records arrive nor on how often. */
 class CrashRecordProperties {
     private static final long SPAN_MILLIS = 1_000;
 
@@ -42,7 +42,7 @@
         assertThat(cleared.merge(a)).isEqualTo(cleared);
     }
 
-    // One crash has one id and one time, as its node drew them.
+    // Every crash has a single id and a single time, as assigned by the node that observed it.
     @Provide
     Arbitrary<CrashRecord> records() {
         Arbitrary<List<Crash>> crashes =
@@ -52,8 +52,9 @@
                         .list()
                         .uniqueElements()
                         .ofMaxSize(12);
-        Arbitrary<Long> voids = Arbitraries.longs().between(0, SPAN_MILLIS / 2).injectNull(0.5);
-        return Combinators.combine(crashes, voids)
+        Arbitrary<Long> clearedUntil =
+                Arbitraries.longs().between(0, SPAN_MILLIS / 2).injectNull(0.5);
+        return Combinators.combine(crashes, clearedUntil)
                 .as(
                         (list, until) ->
                                 until == null
--- a/src/test/java/org/apricotgauge/decision/quarantine/NoopQuarantineListener.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/NoopQuarantineListener.java
@@ -1,9 +1,9 @@
 package org.apricotgauge.decision.quarantine;
 
-/** Passes on nothing of what changes in a table. */
+/** Ignores all changes of a table. */
 public final class NoopQuarantineListener implements QuarantineListener {
     @Override
-    public void quarantined(Fingerprint fingerprint, int crashes, long heldMillis) {}
+    public void quarantined(Fingerprint fingerprint, int crashes, long quarantineMillis) {}
 
     @Override
     public void released(Fingerprint fingerprint) {}
--- a/src/test/java/org/apricotgauge/decision/quarantine/QuarantineSimulationTest.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/QuarantineSimulationTest.java
@@ -10,30 +10,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Courses drawn from a seed: copies of a lethal request, popular requests, targets that end by
- * chance, nodes that restart or are cut off, lost messages; judged by what reached targets.
+ * Random scenarios drawn from a seed: duplicates of a lethal request, popular requests, random
+ * crashes of targets, node restarts, partitions and lost messages; checks which requests ran.
  */
 class QuarantineSimulationTest {
     private static final int SCENARIOS = 15;
     private static final int TICKS = 600;
 
-    // Guards against both errors at once: a lethal request that goes on, and innocent ones that are
-    // refused for the company they were in.
+    // Guards against both errors at once: a lethal request that keeps running, and innocent
+    // requests that are refused because they ran beside it.
     @ParameterizedTest
     @ValueSource(longs = {29, 30, 31, 32})
-    void onlyTheLethalRequestIsQuarantined(long seed) {
+    void lethalRequestsStopRunningAndPopularOnesContinue(long seed) {
         for (int number = 0; number < SCENARIOS; number++) {
-            Scenario course = new Scenario(seed * SCENARIOS + number);
+            Scenario scenario = new Scenario(seed * SCENARIOS + number);
             for (int tick = 0; tick < TICKS; tick++) {
-                course.tick();
+                scenario.tick();
             }
-            assertThat(course.mLethalRuns).as("course %d", number).isGreaterThanOrEqualTo(3);
-            assertThat(course.mLateRuns).as("late runs, course %d", number).isLessThanOrEqualTo(3);
-            assertThat(course.mLateRefusals).as("refusals, course %d", number).isZero();
+            assertThat(scenario.mLethalRuns).as("scenario %d", number).isGreaterThanOrEqualTo(3);
+            assertThat(scenario.mLateRuns)
+                    .as("late runs, scenario %d", number)
+                    .isLessThanOrEqualTo(3);
+            assertThat(scenario.mLateRefusals).as("refusals, scenario %d", number).isZero();
         }
     }
 
-    /** One course; each node is an entry, and the guard of one target. */
+    /** One scenario; each node is an entry and the guard of one target. */
     private static final class Scenario {
         private static final int NODES = 24;
         private static final int POPULAR = 5;
@@ -42,7 +44,7 @@
         private static final int MAX_PARTITION_TICKS = 50;
         private static final double LOSS_PROBABILITY = 0.05;
 
-        /** Nodes have so long to learn; one that was disturbed within it is excused. */
+        /** Time to reach all nodes; those restarted or partitioned within it are not checked. */
         private static final long PROPAGATION_BOUND_MILLIS = 3_000;
 
         private static final Fingerprint LETHAL = new Fingerprint(1_000, 0);
@@ -93,12 +95,13 @@
             for (Fingerprint popular : mPopular) {
                 int entry = mRandom.nextInt(NODES);
                 int guard = mRandom.nextInt(NODES);
-                boolean held = isQuarantined(entry, popular) || isQuarantined(guard, popular);
+                boolean quarantined =
+                        isQuarantined(entry, popular) || isQuarantined(guard, popular);
                 boolean excused = mFleet.nowMillis() - mLastCrashMillis < PROPAGATION_BOUND_MILLIS;
-                if (held && !excused && isSettled(entry) && isSettled(guard)) {
+                if (quarantined && !excused && isSettled(entry) && isSettled(guard)) {
                     mLateRefusals++;
                 }
-                if (!held && isUp(guard)) {
+                if (!quarantined && isUp(guard)) {
                     mFleet.table(guard).recordSuccess(popular);
                 }
             }
@@ -122,7 +125,7 @@
             crash(guard, LETHAL);
         }
 
-        /** Ends a third of all targets, with popular requests and others at work. */
+        /** Crashes a third of all targets while they run popular and other requests. */
         private void crashRandomTargets() {
             for (int guard = 0; guard < NODES; guard++) {
                 if (isUp(guard) && happensWith(0.33)) {
@@ -132,14 +135,14 @@
         }
 
         private void crash(int guard, Fingerprint first) {
-            List<Fingerprint> atWork = new ArrayList<>(List.of(first));
-            while (atWork.size() < SLOTS) {
-                atWork.add(mPopular.get(mRandom.nextInt(POPULAR)));
+            List<Fingerprint> running = new ArrayList<>(List.of(first));
+            while (running.size() < SLOTS) {
+                running.add(mPopular.get(mRandom.nextInt(POPULAR)));
             }
             mLastCrashMillis = mFleet.nowMillis();
             mDownUntilMillis[guard] =
                     mLastCrashMillis + DOWN_TICKS * CrashGossipSimulation.TICK_MILLIS;
-            mFleet.table(guard).recordCrash(atWork, mCrashId++);
+            mFleet.table(guard).recordCrash(running, mCrashId++);
             mFleet.gossip(guard).tick();
         }
 
--- a/src/test/java/org/apricotgauge/decision/quarantine/QuarantineTableTest.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/QuarantineTableTest.java
@@ -36,7 +36,7 @@
         assertThat(mListener.mQuarantined).containsExactly(LETHAL);
     }
 
-    // Guards against one crash that is told three times, as by lost and repeated messages.
+    // Guards against counting one crash several times when messages are lost and duplicated.
     @Test
     void aCrashReceivedSeveralTimesCountsOnce() {
         for (int i = 0; i < 5; i++) {
@@ -46,7 +46,7 @@
         assertThat(mTable.remainingQuarantineMillis(LETHAL)).isZero();
     }
 
-    // Guards against refusing a popular request for the crashes that it happened to run in.
+    // Guards against refusing a popular request because it happened to run during crashes.
     @Test
     void aRequestThatSucceededBeforeAWaveOfCrashesIsNotQuarantined() {
         mTable.recordSuccess(POPULAR);
@@ -56,7 +56,7 @@
         assertThat(mTable.remainingQuarantineMillis(POPULAR)).isZero();
     }
 
-    // Guards against the same where another node saw the good run, and its word comes late.
+    // Guards against the same when another node observed the successful run and reports it late.
     @Test
     void aSuccessAtAnotherNodeReleasesARequest() {
         crashThrice(POPULAR);
@@ -69,7 +69,7 @@
         assertThat(mListener.mReleased).containsExactly(POPULAR);
     }
 
-    // Guards against holding it again by crashes that it was cleared of, told late by others.
+    // Guards against a new quarantine due to cleared crashes that other nodes report late.
     @Test
     void clearedCrashesReceivedLateDoNotCount() {
         mTable.recordSuccess(POPULAR);
@@ -81,7 +81,7 @@
         assertThat(mTable.remainingQuarantineMillis(POPULAR)).isZero();
     }
 
-    // Guards against a request that was sound until a release of its targets, and crashes them now.
+    // Guards against a request that crashes targets only since a new release of theirs.
     @Test
     void anOldSuccessClearsNothing() {
         mTable.recordSuccess(LETHAL);
@@ -129,7 +129,7 @@
         assertThat(mTable.remainingQuarantineMillis(LETHAL)).isPositive();
     }
 
-    // Guards against an attacker who invents requests until a proven one is forgotten.
+    // Guards against an attacker who invents requests until a quarantined one is evicted.
     @Test
     void aFullTableKeepsQuarantinedRequests() {
         crashThrice(LETHAL);
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aNewRequestIsRejectedWhenAllRecordsAreQuarantined() {
+    void aCrashIsNotRecordedWhenAllRecordsAreQuarantined() {
         for (int i = 0; i < QuarantineTable.MAX_RECORDS; i++) {
             crashThrice(new Fingerprint(100 + i, 0));
         }
@@ -154,7 +154,7 @@
         assertThat(mTable.quarantinedCount()).isEqualTo(QuarantineTable.MAX_RECORDS);
     }
 
-    // Guards against refusing all requests of a head since the body of some was not read.
+    // Guards against refusing all requests with one head because some bodies were not read.
     @Test
     void anIncompleteFingerprintIsNotQuarantined() {
         Fingerprint unread = new Fingerprint(1, Fingerprint.UNKNOWN_BODY);
@@ -168,8 +168,8 @@
         assertThat(mListener.mReleased).isEmpty();
     }
 
-    private void merge(Fingerprint fingerprint, CrashRecord record, boolean isNews) {
-        mTable.merge(List.of(new QuarantineTable.Entry(fingerprint, record)), isNews);
+    private void merge(Fingerprint fingerprint, CrashRecord record, boolean isUpdate) {
+        mTable.merge(List.of(new QuarantineTable.Entry(fingerprint, record)), isUpdate);
     }
 
     private void crashThrice(Fingerprint fingerprint) {
@@ -182,14 +182,14 @@
         mTable.recordCrash(List.of(fingerprint), mCrashId++);
     }
 
-    /** Remembers what it hears. */
+    /** Records the calls that it receives. */
     private static final class RecordingListener implements QuarantineListener {
         private final List<Fingerprint> mQuarantined = new ArrayList<>();
         private final List<Fingerprint> mReleased = new ArrayList<>();
         private int mTableFullCalls;
 
         @Override
-        public void quarantined(Fingerprint fingerprint, int crashes, long heldMillis) {
+        public void quarantined(Fingerprint fingerprint, int crashes, long quarantineMillis) {
             mQuarantined.add(fingerprint);
         }
 
--- a/src/test/java/org/apricotgauge/decision/ratelimit/DistributedRateLimiterTest.java
+++ b/src/test/java/org/apricotgauge/decision/ratelimit/DistributedRateLimiterTest.java
@@ -8,7 +8,7 @@
 import org.apricotgauge.model.RateLimit;
 import org.junit.jupiter.api.Test;
 
-/** What one node does when others answer late or not at all. */
+/** Tests what one node does when others respond late or not at all. */
 class DistributedRateLimiterTest {
     private static final RateLimit LIMIT = new RateLimit(10, 5);
     private static final String MEMBER = "stable";
@@ -29,27 +29,27 @@
 
     @Test
     void aConnectedOwnerGrantsWithoutSendingARequest() {
-        DistributedRateLimiter home = limiter(nodeOfRank(0));
-        home.received(
+        DistributedRateLimiter owner = limiter(nodeOfRank(0));
+        owner.received(
                 nodeOfRank(2), new TokenMessage.Response(-1, new TokenGrant(0, 0)), mNowMillis);
-        acquire(home);
+        acquire(owner);
 
         assertThat(mDecisions).containsExactly(RateLimitDecision.GRANTED);
         assertThat(mSent).isEmpty();
     }
 
-    // Guards against a home cut off that lends to its callers beside its stand-in.
+    // Guards against an isolated owner that grants tokens while its backup owner grants them too.
     @Test
     void anIsolatedOwnerGrantsOnlyAfterAnotherNodeResponds() {
-        DistributedRateLimiter home = limiter(nodeOfRank(0));
-        acquire(home);
+        DistributedRateLimiter owner = limiter(nodeOfRank(0));
+        acquire(owner);
         assertThat(mDecisions).isEmpty();
-        respond(home, 0, 0);
+        respond(owner, 0, 0);
         assertThat(mDecisions).containsExactly(RateLimitDecision.GRANTED);
 
         mNowMillis += DistributedRateLimiter.CONTACT_TIMEOUT_MILLIS;
-        acquire(home);
-        timeOut(home);
+        acquire(owner);
+        timeOut(owner);
         assertThat(mDecisions)
                 .containsExactly(RateLimitDecision.GRANTED, RateLimitDecision.UNKNOWN);
     }
@@ -64,15 +64,15 @@
 
     @Test
     void callersWaitingForAPendingRequestShareTheNextOne() {
-        DistributedRateLimiter desk = limiter(nodeOfRank(3));
-        acquire(desk);
-        acquire(desk);
-        acquire(desk);
+        DistributedRateLimiter limiter = limiter(nodeOfRank(3));
+        acquire(limiter);
+        acquire(limiter);
+        acquire(limiter);
         assertThat(mSent).hasSize(1);
 
-        respond(desk, 1, 0);
+        respond(limiter, 1, 0);
         assertThat(((TokenMessage.Request) mSent.get(1).message()).count()).isEqualTo(2);
-        respond(desk, 1, 700);
+        respond(limiter, 1, 700);
 
         assertThat(mDecisions)
                 .containsExactly(
@@ -81,14 +81,14 @@
                         new RateLimitDecision.Refused(700));
     }
 
-    // Guards against a question for each request of a member that floods the fleet.
+    // Guards against flooding the fleet with one message for each request of a member.
     @Test
     void aRefusalIsCached() {
-        DistributedRateLimiter desk = limiter(nodeOfRank(3));
-        acquire(desk);
-        respond(desk, 0, 700);
+        DistributedRateLimiter limiter = limiter(nodeOfRank(3));
+        acquire(limiter);
+        respond(limiter, 0, 700);
         mNowMillis += DistributedRateLimiter.REFUSAL_CACHE_MILLIS - 1;
-        acquire(desk);
+        acquire(limiter);
 
         assertThat(mSent).hasSize(1);
         assertThat(mDecisions.get(1))
@@ -97,61 +97,62 @@
                                 701 - DistributedRateLimiter.REFUSAL_CACHE_MILLIS));
     }
 
-    // Guards against a lost datagram that makes a second node lend beside the home.
+    // Guards against a lost datagram after which a second node grants tokens beside the owner.
     @Test
     void retriesTheOwnerOnceAndThenAsksTheBackupOwner() {
-        DistributedRateLimiter desk = limiter(nodeOfRank(3));
-        acquire(desk);
-        timeOut(desk);
-        timeOut(desk);
+        DistributedRateLimiter limiter = limiter(nodeOfRank(3));
+        acquire(limiter);
+        timeOut(limiter);
+        timeOut(limiter);
 
         assertThat(mSent.stream().filter(DistributedRateLimiterTest::requestsTokens).map(Sent::to))
                 .containsExactly(nodeOfRank(0), nodeOfRank(0), nodeOfRank(1));
         assertThat(mDecisions).isEmpty();
 
-        respond(desk, 1, 0);
+        respond(limiter, 1, 0);
         assertThat(mDecisions).containsExactly(RateLimitDecision.GRANTED);
     }
 
-    // Guards against the same while the home is back: its answer to a probe ends its silence.
+    // Guards against the same when the owner is restored: its response to a probe makes it usable.
     @Test
     void anOwnerThatRespondsAgainIsUsedAgain() {
-        DistributedRateLimiter desk = limiter(nodeOfRank(3));
-        acquire(desk);
-        timeOut(desk);
-        timeOut(desk);
-        respond(desk, 1, 0);
-        desk.received(
+        DistributedRateLimiter limiter = limiter(nodeOfRank(3));
+        acquire(limiter);
+        timeOut(limiter);
+        timeOut(limiter);
+        respond(limiter, 1, 0);
+        limiter.received(
                 nodeOfRank(0), new TokenMessage.Response(-1, new TokenGrant(0, 0)), mNowMillis);
-        acquire(desk);
+        acquire(limiter);
 
         assertThat(mSent.get(mSent.size() - 1).to()).isEqualTo(nodeOfRank(0));
     }
 
-    // Guards against callers of a node out of touch that wait until their deadline.
+    // Guards against callers of an isolated node that wait until their deadline.
     @Test
     void theDecisionIsUnknownWhenNoNodeResponds() {
-        DistributedRateLimiter desk = limiter(nodeOfRank(3));
-        acquire(desk);
-        timeOut(desk);
-        timeOut(desk);
-        timeOut(desk);
+        DistributedRateLimiter limiter = limiter(nodeOfRank(3));
+        acquire(limiter);
+        timeOut(limiter);
+        timeOut(limiter);
+        timeOut(limiter);
         assertThat(mDecisions).containsExactly(RateLimitDecision.UNKNOWN);
 
-        acquire(desk);
+        acquire(limiter);
         assertThat(mDecisions).hasSize(2);
-        assertThat(desk.hasPendingRequests()).isFalse();
+        assertThat(limiter.hasPendingRequests()).isFalse();
     }
 
-    // Guards against two lenders while only the path between asker and home is cut.
+    // Guards against two nodes granting tokens while only the path from requester to owner fails.
     @Test
     void aBackupOwnerForwardsRequestsToTheOwner() {
-        DistributedRateLimiter standIn = limiter(nodeOfRank(1));
-        standIn.received(nodeOfRank(3), new TokenMessage.Request(77, MEMBER, 2, false), mNowMillis);
+        DistributedRateLimiter backupOwner = limiter(nodeOfRank(1));
+        backupOwner.received(
+                nodeOfRank(3), new TokenMessage.Request(77, MEMBER, 2, false), mNowMillis);
 
         assertThat(mSent.get(0).to()).isEqualTo(nodeOfRank(0));
         assertThat(((TokenMessage.Request) mSent.get(0).message()).isFinal()).isTrue();
-        respond(standIn, 1, 300);
+        respond(backupOwner, 1, 300);
 
         assertThat(mSent.get(1))
                 .isEqualTo(
@@ -162,10 +163,11 @@
 
     @Test
     void aBackupOwnerGrantsWhenTheOwnerTimesOut() {
-        DistributedRateLimiter standIn = limiter(nodeOfRank(1));
-        standIn.received(nodeOfRank(3), new TokenMessage.Request(77, MEMBER, 1, false), mNowMillis);
+        DistributedRateLimiter backupOwner = limiter(nodeOfRank(1));
+        backupOwner.received(
+                nodeOfRank(3), new TokenMessage.Request(77, MEMBER, 1, false), mNowMillis);
         mNowMillis += DistributedRateLimiter.FORWARD_TIMEOUT_MILLIS;
-        standIn.expire(mNowMillis);
+        backupOwner.expire(mNowMillis);
 
         assertThat(mSent.get(1))
                 .isEqualTo(
@@ -175,7 +177,7 @@
     }
 
     private static boolean requestsTokens(Sent sent) {
-        return sent.message() instanceof TokenMessage.Request ask && ask.count() > 0;
+        return sent.message() instanceof TokenMessage.Request request && request.count() > 0;
     }
 
     private Address nodeOfRank(int rank) {
@@ -198,19 +200,19 @@
                 0);
     }
 
-    private void acquire(DistributedRateLimiter desk) {
-        desk.acquire(MEMBER, LIMIT, mNowMillis, mDecisions::add);
+    private void acquire(DistributedRateLimiter limiter) {
+        limiter.acquire(MEMBER, LIMIT, mNowMillis, mDecisions::add);
     }
 
-    private void respond(DistributedRateLimiter desk, int granted, long retryAfterMillis) {
+    private void respond(DistributedRateLimiter limiter, int granted, long retryAfterMillis) {
         Sent last = mSent.get(mSent.size() - 1);
-        TokenGrant answer = new TokenGrant(granted, retryAfterMillis);
-        desk.received(
-                last.to(), new TokenMessage.Response(last.message().id(), answer), mNowMillis);
+        TokenGrant grant = new TokenGrant(granted, retryAfterMillis);
+        limiter.received(
+                last.to(), new TokenMessage.Response(last.message().id(), grant), mNowMillis);
     }
 
-    private void timeOut(DistributedRateLimiter desk) {
+    private void timeOut(DistributedRateLimiter limiter) {
         mNowMillis += DistributedRateLimiter.RESPONSE_TIMEOUT_MILLIS;
-        desk.expire(mNowMillis);
+        limiter.expire(mNowMillis);
     }
 }
--- a/src/test/java/org/apricotgauge/decision/ratelimit/FallbackQuotaTest.java
+++ b/src/test/java/org/apricotgauge/decision/ratelimit/FallbackQuotaTest.java
@@ -5,30 +5,30 @@
 import org.apricotgauge.model.RateLimit;
 import org.junit.jupiter.api.Test;
 
-/** What nodes out of touch grant, all together. */
+/** Tests what all isolated nodes together grant. */
 class FallbackQuotaTest {
     private static final RateLimit LIMIT = new RateLimit(8, 8);
     private static final FallbackQuota.Tolerance TOLERANCE =
             new FallbackQuota.Tolerance(5, 0.25, 20);
 
-    // Guards against a fleet cut to pieces whose nodes grant one request each.
+    // Guards against a fleet of isolated nodes that grant one request each.
     @Test
     void allNodesTogetherGrantHalfOfTheTolerance() {
         int granted = 0;
         for (int rank = 0; rank < 1_000; rank++) {
-            FallbackQuota reserve = new FallbackQuota(TOLERANCE);
-            granted += reserve.tryAcquire("stable", LIMIT, rank, 0) ? 1 : 0;
-            granted += reserve.tryAcquire("stable", LIMIT, rank, 5_000) ? 1 : 0;
+            FallbackQuota quota = new FallbackQuota(TOLERANCE);
+            granted += quota.tryAcquire("stable", LIMIT, rank, 0) ? 1 : 0;
+            granted += quota.tryAcquire("stable", LIMIT, rank, 5_000) ? 1 : 0;
         }
         assertThat(granted).isEqualTo(16);
     }
 
     @Test
     void eachWindowHasItsOwnQuota() {
-        FallbackQuota reserve = new FallbackQuota(TOLERANCE);
-        assertThat(reserve.tryAcquire("stable", LIMIT, 0, 0)).isTrue();
+        FallbackQuota quota = new FallbackQuota(TOLERANCE);
+        assertThat(quota.tryAcquire("stable", LIMIT, 0, 0)).isTrue();
 
-        assertThat(reserve.tryAcquire("stable", LIMIT, 0, 5_001)).isTrue();
+        assertThat(quota.tryAcquire("stable", LIMIT, 0, 5_001)).isTrue();
     }
 
     @Test
--- a/src/test/java/org/apricotgauge/decision/ratelimit/MemberOwnersTest.java
+++ b/src/test/java/org/apricotgauge/decision/ratelimit/MemberOwnersTest.java
@@ -7,7 +7,7 @@
 import org.apricotgauge.model.Address;
 import org.junit.jupiter.api.Test;
 
-/** Which node counts a member's tokens. */
+/** Tests which node owns a member. */
 class MemberOwnersTest {
     private static final int NODES = 50;
     private static final int MEMBERS = 2_000;
@@ -16,15 +16,15 @@
     void allNodesComputeTheSameOwners() {
         for (int member = 0; member < 100; member++) {
             String id = "team-" + member;
-            Address home = owners(0, NODES).owner(id);
-            assertThat(owners(7, NODES).owner(id)).isEqualTo(home);
+            Address owner = owners(0, NODES).owner(id);
+            assertThat(owners(7, NODES).owner(id)).isEqualTo(owner);
             assertThat(owners(7, NODES).backupOwner(id))
                     .isEqualTo(owners(31, NODES).backupOwner(id));
-            assertThat(owners(7, NODES).backupOwner(id).get()).isNotEqualTo(home);
+            assertThat(owners(7, NODES).backupOwner(id).get()).isNotEqualTo(owner);
         }
     }
 
-    // Guards against a node that leaves and makes all members' tokens start anew.
+    // Guards against a removed node after which the tokens of all members are counted anew.
     @Test
     void removingANodeMovesOnlyItsMembers() {
         MemberOwners before = owners(0, NODES);
--- a/src/test/java/org/apricotgauge/decision/ratelimit/MemberTokenBucketsTest.java
+++ b/src/test/java/org/apricotgauge/decision/ratelimit/MemberTokenBucketsTest.java
@@ -5,7 +5,7 @@
 import org.apricotgauge.model.RateLimit;
 import org.junit.jupiter.api.Test;
 
-/** The tokens of members at their home. */
+/** Tests the tokens of members at their owner. */
 class MemberTokenBucketsTest {
     private static final RateLimit LIMIT = new RateLimit(10, 5);
     private static final long LATER_MILLIS = 100_000;
@@ -29,26 +29,26 @@
         assertThat(grant(1, LATER_MILLIS + 100).granted()).isEqualTo(1);
     }
 
-    // Guards against a home that is killed and started again to grant its savings twice.
+    // Guards against an owner that is killed and restarted to grant its saved tokens twice.
     @Test
     void aNewBucketIsNotFull() {
         MemberTokenBuckets restarted =
                 new MemberTokenBuckets(FallbackQuota.Tolerance.NONE, LATER_MILLIS);
 
-        TokenGrant answer =
+        TokenGrant grant =
                 restarted.grant("stable", LIMIT, 20, MemberTokenBuckets.Role.OWNER, LATER_MILLIS);
 
-        assertThat(answer.granted()).isEqualTo(2);
+        assertThat(grant.granted()).isEqualTo(2);
     }
 
-    // Guards against a stand-in that doubles the limit while the home still lends to others.
+    // Guards against a backup owner that doubles the limit while the owner still grants to others.
     @Test
     void uptimeDoesNotFillTheNewBucketOfABackupOwner() {
-        TokenGrant answer =
+        TokenGrant grant =
                 mBuckets.grant(
                         "stable", LIMIT, 20, MemberTokenBuckets.Role.BACKUP_OWNER, LATER_MILLIS);
 
-        assertThat(answer.granted()).isEqualTo(2);
+        assertThat(grant.granted()).isEqualTo(2);
     }
 
     @Test
@@ -65,14 +65,14 @@
         grant(1, LATER_MILLIS);
         RateLimit lower = new RateLimit(1, 1);
 
-        TokenGrant answer =
+        TokenGrant grant =
                 mBuckets.grant(
                         "stable", lower, 20, MemberTokenBuckets.Role.OWNER, LATER_MILLIS + 10);
 
-        assertThat(answer.granted()).isEqualTo(1);
+        assertThat(grant.granted()).isEqualTo(1);
     }
 
-    private TokenGrant grant(int asked, long nowMillis) {
-        return mBuckets.grant("stable", LIMIT, asked, MemberTokenBuckets.Role.OWNER, nowMillis);
+    private TokenGrant grant(int requested, long nowMillis) {
+        return mBuckets.grant("stable", LIMIT, requested, MemberTokenBuckets.Role.OWNER, nowMillis);
     }
 }
