--- a/src/main/java/org/apricotgauge/caller/AnswerDelivery.java
+++ b/src/main/java/org/apricotgauge/caller/AnswerDelivery.java
@@ -17,33 +17,33 @@
  */
 final class AnswerDelivery {
     private final EntryContext mContext;
-    private final ExchangeReport mReport;
+    private final ExchangeReporter mReporter;
     private final Request mRequest;
     private final Response mResponse;
     private final Callback mCallback;
 
     AnswerDelivery(
             EntryContext context,
-            ExchangeReport report,
+            ExchangeReporter report,
             Request request,
             Response response,
             Callback callback) {
         mContext = context;
-        mReport = report;
+        mReporter = report;
         mRequest = request;
         mResponse = response;
         mCallback = callback;
     }
 
     /** Gives an answer that was read whole before. */
-    void deliver(KeptAnswer kept) {
-        mReport.told(new Outcome.Answered(kept.status()));
+    void writeBuffered(BufferedAnswer kept) {
+        mReporter.recordOutcome(new Outcome.Answered(kept.status()));
         mContext.metrics().answered().inc();
         kept.write(mResponse, mCallback);
     }
 
     /** Gives an answer while it comes. */
-    void pass(
+    void forward(
             TargetAttempt attempt, org.eclipse.jetty.client.Response answer, Content.Source body) {
         AnswerStream.copyHead(answer, mResponse);
         WatchedSource watched = new WatchedSource(body);
@@ -51,20 +51,22 @@
                 answer,
                 watched,
                 mResponse,
-                Callback.from(() -> passed(attempt), cause -> passBroken(attempt, watched, cause)));
+                Callback.from(
+                        () -> onForwarded(attempt),
+                        cause -> onForwardFailed(attempt, watched, cause)));
     }
 
-    private void passed(TargetAttempt attempt) {
-        attempt.over();
+    private void onForwarded(TargetAttempt attempt) {
+        attempt.end();
         mContext.metrics().answered().inc();
-        mReport.told(new Outcome.Answered(mResponse.getStatus()));
+        mReporter.recordOutcome(new Outcome.Answered(mResponse.getStatus()));
         mCallback.succeeded();
     }
 
-    private void passBroken(TargetAttempt attempt, WatchedSource body, Throwable cause) {
-        attempt.over();
+    private void onForwardFailed(TargetAttempt attempt, WatchedSource body, Throwable cause) {
+        attempt.end();
         mContext.metrics().brokenAnswers().inc();
-        mReport.told(new Outcome.Unknown(UnknownReason.ANSWER_LOST));
+        mReporter.recordOutcome(new Outcome.Unknown(UnknownReason.ANSWER_LOST));
         if (body.hasFailed() && !mResponse.isCommitted()) {
             mResponse.reset();
             Outcomes.write(mResponse, mCallback, new Outcome.Unknown(UnknownReason.ANSWER_LOST));
@@ -76,8 +78,8 @@
     }
 
     /** Tells what became of a request that has no answer. */
-    void tell(Outcome outcome) {
-        mReport.told(outcome);
+    void writeOutcome(Outcome outcome) {
+        mReporter.recordOutcome(outcome);
         if (outcome instanceof Outcome.NotRun notRun) {
             mContext.metrics().notRun().inc();
             Outcomes.write(mResponse, mCallback, notRun, mContext.dialect());
--- a/src/main/java/org/apricotgauge/caller/AttemptAccount.java
+++ b/src/main/java/org/apricotgauge/caller/AttemptTracker.java
@@ -12,14 +12,14 @@
  * What an entry keeps of one attempt at a target: its place in the target's load, and its one
  * observation. Thread-safe.
  */
-final class AttemptAccount {
+final class AttemptTracker {
     private final EntryContext mContext;
     private final Candidate mCandidate;
-    private final AtomicBoolean mOver = new AtomicBoolean();
-    private final AtomicBoolean mObserved = new AtomicBoolean();
+    private final AtomicBoolean mEnded = new AtomicBoolean();
+    private final AtomicBoolean mOutcomeRecorded = new AtomicBoolean();
     private volatile long mSentNanos;
 
-    AttemptAccount(EntryContext context, Candidate candidate) {
+    AttemptTracker(EntryContext context, Candidate candidate) {
         mContext = context;
         mCandidate = candidate;
     }
@@ -31,23 +31,23 @@
     }
 
     /** Counts the attempt as ended; later calls do nothing. */
-    void over() {
-        if (mOver.compareAndSet(false, true)) {
+    void end() {
+        if (mEnded.compareAndSet(false, true)) {
             mCandidate.load().end();
         }
     }
 
-    boolean isOver() {
-        return mOver.get();
+    boolean isEnded() {
+        return mEnded.get();
     }
 
     /** Tells the observer how the attempt ended; later calls do nothing. */
-    void observed(ObservedOutcome outcome) {
-        if (!mObserved.compareAndSet(false, true)) {
+    void recordOutcome(ObservedOutcome outcome) {
+        if (!mOutcomeRecorded.compareAndSet(false, true)) {
             return;
         }
         long micros = TimeUnit.NANOSECONDS.toMicros(mContext.ticker().nanos() - mSentNanos);
-        mContext.observer().attempted(mCandidate.target(), outcome, micros);
+        mContext.observer().onAttemptEnded(mCandidate.target(), outcome, micros);
     }
 
     /** Returns what the status of a target's answer says of the target. */
--- a/src/main/java/org/apricotgauge/caller/KeptAnswer.java
+++ b/src/main/java/org/apricotgauge/caller/BufferedAnswer.java
@@ -15,22 +15,23 @@
  * <p>Should no other take the request, its caller gets the answer that there was, with the target's
  * mark, rather than one of the fleet's own that tells less.
  */
-final class KeptAnswer {
+final class BufferedAnswer {
     /** Failed answers are short; a longer one is not kept. */
-    private static final int MAX_BYTES = 16_384;
+    private static final int MAX_BODY_BYTES = 16_384;
 
     private final org.eclipse.jetty.client.Response mHead;
     private final byte[] mBody;
 
-    private KeptAnswer(org.eclipse.jetty.client.Response head, byte[] body) {
+    private BufferedAnswer(org.eclipse.jetty.client.Response head, byte[] body) {
         mHead = head;
         mBody = body;
     }
 
     /** Reads the answer whole; fails if it breaks off or is too long to be kept. */
-    static CompletableFuture<KeptAnswer> read(
+    static CompletableFuture<BufferedAnswer> read(
             org.eclipse.jetty.client.Response head, Content.Source body) {
-        return Bodies.readAll(body, MAX_BYTES).thenApply(bytes -> new KeptAnswer(head, bytes));
+        return Bodies.readAll(body, MAX_BODY_BYTES)
+                .thenApply(bytes -> new BufferedAnswer(head, bytes));
     }
 
     int status() {
--- a/src/main/java/org/apricotgauge/caller/CallerExchange.java
+++ b/src/main/java/org/apricotgauge/caller/CallerExchange.java
@@ -32,7 +32,7 @@
  */
 final class CallerExchange {
     /** Bodies up to this size can be sent again; larger ones stream and go out once. */
-    static final int REPLAY_LIMIT_BYTES = 65_536;
+    static final int MAX_REPLAYABLE_BYTES = 65_536;
 
     private static final long NO_TARGET_RETRY_AFTER_MILLIS = 1_000;
 
@@ -40,27 +40,27 @@
     private final ServiceTable mTable;
     private final RetryBudget mBudget;
     private final Optional<String> mParentId;
-    private final ExchangeReport mReport;
-    private final CallerRequest mAsked;
+    private final ExchangeReporter mReporter;
+    private final CallerRequest mCallerRequest;
     private final Request mRequest;
     private final Callback mCallback;
     private final AnswerDelivery mDelivery;
     private final ReplayableBody mBody;
     private final QuarantineCheck mQuarantine;
     private final long mDeadlineMillis;
-    private final TargetChoice mChoice;
+    private final TargetSelector mSelector;
     private SubmissionProgress mProgress;
-    private Candidate mHome;
-    private volatile boolean mAtPredecessor;
-    private TargetAttempt mCurrent;
-    private boolean mCurrentBegun;
+    private Candidate mOwner;
+    private volatile boolean mUsesPredecessor;
+    private TargetAttempt mCurrentAttempt;
+    private boolean mCurrentAttemptBegun;
     private boolean mReachedTarget;
-    private boolean mPaid;
-    private boolean mNextPaid;
-    private KeptAnswer mKept;
-    private Attempt mAtHome;
+    private boolean mRetryPaid;
+    private boolean mNextRetryPaid;
+    private BufferedAnswer mBufferedAnswer;
+    private Attempt mOwnerAttempt;
     private boolean mEnded;
-    private volatile Scheduler.Task mDeadline;
+    private volatile Scheduler.Task mDeadlineTask;
 
     CallerExchange(
             EntryContext context,
@@ -75,18 +75,18 @@
         mContext = context;
         mTable = table;
         mParentId =
-                CallParent.of(
-                        context.dialect(), request.getHeaders(), context.observer()::isAtWork);
-        mReport =
-                new ExchangeReport(
+                NestedCallPolicy.parentId(
+                        context.dialect(), request.getHeaders(), context.observer()::isRunning);
+        mReporter =
+                new ExchangeReporter(
                         context, asked, table.service().id(), version, request, mParentId);
         mBudget = budget;
-        mAsked = asked;
+        mCallerRequest = asked;
         mRequest = request;
         mCallback = callback;
-        mDelivery = new AnswerDelivery(context, mReport, request, response, callback);
-        mChoice = new TargetChoice(context, present, asked.repeatable());
-        mBody = new ReplayableBody(request, REPLAY_LIMIT_BYTES);
+        mDelivery = new AnswerDelivery(context, mReporter, request, response, callback);
+        mSelector = new TargetSelector(context, present, asked.idempotent());
+        mBody = new ReplayableBody(request, MAX_REPLAYABLE_BYTES);
         mQuarantine =
                 new QuarantineCheck(
                         context.quarantine(),
@@ -94,41 +94,42 @@
                         Fingerprints.hasBody(request),
                         mBody);
         mDeadlineMillis = context.ticker().millis() + asked.timeoutMillis();
-        mProgress = SubmissionProgress.of(asked.repeatable(), false);
+        mProgress = SubmissionProgress.of(asked.idempotent(), false);
     }
 
     /** Starts at the node that remembers the request's key, and tries no other. */
-    void startAtHome(Candidate home) {
-        mHome = home;
-        mProgress = SubmissionProgress.of(mAsked.repeatable(), true);
+    void startAtOwner(Candidate home) {
+        mOwner = home;
+        mProgress = SubmissionProgress.of(mCallerRequest.idempotent(), true);
         start();
     }
 
     void start() {
-        mAtPredecessor =
-                mHome == null && PredecessorShare.covers(mTable.service(), mAsked, mRequest);
-        if (mAtPredecessor) {
+        mUsesPredecessor =
+                mOwner == null
+                        && PredecessorShare.covers(mTable.service(), mCallerRequest, mRequest);
+        if (mUsesPredecessor) {
             mContext.metrics().predecessorRequests().inc();
         } else {
             mBudget.onRequest();
         }
-        mDeadline =
+        mDeadlineTask =
                 mContext.scheduler()
                         .schedule(
-                                this::deadlinePassed,
-                                Math.max(1, leftMillis()),
+                                this::onDeadlinePassed,
+                                Math.max(1, remainingMillis()),
                                 TimeUnit.MILLISECONDS);
-        mRequest.addFailureListener(this::callerGone);
-        HangUpEndPoint.watch(mRequest, () -> callerGone(HangUpEndPoint.hangUp()));
-        mQuarantine.whenIdentified(this::next);
+        mRequest.addFailureListener(this::onCallerDisconnected);
+        HangUpEndPoint.watch(mRequest, () -> onCallerDisconnected(HangUpEndPoint.hangUp()));
+        mQuarantine.whenIdentified(this::startNextAttempt);
     }
 
     EntryContext context() {
         return mContext;
     }
 
-    CallerRequest asked() {
-        return mAsked;
+    CallerRequest callerRequest() {
+        return mCallerRequest;
     }
 
     Request request() {
@@ -144,7 +145,7 @@
     }
 
     /** Returns the time left to the deadline, in milliseconds; not positive once it has passed. */
-    long leftMillis() {
+    long remainingMillis() {
         return mDeadlineMillis - mContext.ticker().millis();
     }
 
@@ -152,10 +153,10 @@
      * Returns the time left in which an answer is of full use to the caller, in milliseconds; not
      * positive once it has passed.
      */
-    long usefulMillis() {
-        Long targetMillis = mAsked.route().targetLatencyMillis();
-        long passedMillis = mAsked.timeoutMillis() - leftMillis();
-        return targetMillis == null ? leftMillis() : targetMillis - passedMillis;
+    long softDeadlineRemainingMillis() {
+        Long targetMillis = mCallerRequest.route().targetLatencyMillis();
+        long passedMillis = mCallerRequest.timeoutMillis() - remainingMillis();
+        return targetMillis == null ? remainingMillis() : targetMillis - passedMillis;
     }
 
     /** Returns the id of the request that this one is a call for; nothing for a caller's. */
@@ -164,50 +165,50 @@
     }
 
     /** Returns whether a target was sent the request before. */
-    boolean isRepeat() {
+    boolean isRetry() {
         synchronized (this) {
             return mReachedTarget;
         }
     }
 
     /** Notes that the guard of the present attempt has paid for the next run. */
-    void paid(TargetAttempt attempt) {
+    void onRetryPaid(TargetAttempt attempt) {
         synchronized (this) {
-            mNextPaid |= attempt == mCurrent;
+            mNextRetryPaid |= attempt == mCurrentAttempt;
         }
     }
 
     /** Returns whether the present run has been paid for by the guard of the one before. */
-    boolean isPaid() {
+    boolean isRetryPaid() {
         synchronized (this) {
-            return mPaid;
+            return mRetryPaid;
         }
     }
 
     // A run that was paid for is over once a target was reached; until then the pay is good.
-    private void settlePay(boolean reached) {
+    private void updateRetryPaid(boolean reached) {
         if (reached) {
-            mPaid = mNextPaid;
-            mNextPaid = false;
+            mRetryPaid = mNextRetryPaid;
+            mNextRetryPaid = false;
         }
     }
 
     /** Returns how much of a risk the present attempt may run. */
-    HealthGate.RiskTolerance caution() {
+    HealthGate.RiskTolerance riskTolerance() {
         synchronized (this) {
-            return mChoice.isLastResort()
+            return mSelector.isLastResort()
                     ? HealthGate.RiskTolerance.NONE
-                    : mContext.repeatPolicy().riskTolerance(mProgress, maxRuns());
+                    : mContext.retryPolicy().riskTolerance(mProgress, maxRuns());
         }
     }
 
     /** Returns whether the present attempt may wait for a slot. */
-    QueueingPolicy patience() {
-        return mChoice.patience();
+    QueueingPolicy queueingPolicy() {
+        return mSelector.queueingPolicy();
     }
 
     private int maxRuns() {
-        return mAsked.route().maxRunsOr(mContext.repeatPolicy().maxAttempts());
+        return mCallerRequest.route().maxRunsOr(mContext.retryPolicy().maxAttempts());
     }
 
     long deadlineMillis() {
@@ -220,39 +221,42 @@
      * <p>Once one may have run there, the others keep its run and its latest start: addressed anew
      * they could reach a home that no longer remembers the key.
      */
-    Attempt addressAtHome(GuardClockEstimate home, long untilMillis) {
+    Attempt newOwnerAttempt(GuardClockEstimate home, long untilMillis) {
         synchronized (this) {
-            mAtHome =
+            mOwnerAttempt =
                     mProgress.mayHaveRun()
-                            ? mAtHome.withId(mContext.ids().next())
+                            ? mOwnerAttempt.withId(mContext.attemptIds().next())
                             : home.newAttempt(
-                                    mContext.ids().next(), mContext.ticker().millis(), untilMillis);
-            return mAtHome;
+                                    mContext.attemptIds().next(),
+                                    mContext.ticker().millis(),
+                                    untilMillis);
+            return mOwnerAttempt;
         }
     }
 
-    private void next() {
-        if (mQuarantine.heldMillis() > 0) {
-            endHeld();
+    private void startNextAttempt() {
+        if (mQuarantine.remainingQuarantineMillis() > 0) {
+            finishQuarantined();
             return;
         }
-        if (mHome != null) {
-            send(new KeyedAttempt(this, mHome, mAsked.key().orElseThrow()));
+        if (mOwner != null) {
+            send(new KeyedAttempt(this, mOwner, mCallerRequest.key().orElseThrow()));
             return;
         }
-        if (mAtPredecessor) {
+        if (mUsesPredecessor) {
             send(new PredecessorAttempt(this, mTable.service().predecessor()));
             return;
         }
-        Optional<Candidate> choice = mChoice.next(mProgress.lastOutcome());
+        Optional<Candidate> choice = mSelector.next(mProgress.lastOutcome());
         if (choice.isEmpty()) {
-            endWithoutTarget();
+            finishWithoutTarget();
             return;
         }
         Candidate candidate = choice.get();
-        mReport.sending(candidate, caution().name());
+        mReporter.recordSend(candidate, riskTolerance().name());
         boolean direct =
-                mContext.reach() == EntryOptions.Reach.ANY_WAY && !mContext.hasGuardUp(candidate);
+                mContext.targetAccess() == EntryOptions.TargetAccess.GUARD_OR_DIRECT
+                        && !mContext.hasReachableGuard(candidate);
         send(direct ? new DirectAttempt(this, candidate) : new GuardedAttempt(this, candidate));
     }
 
@@ -261,8 +265,8 @@
             if (mEnded) {
                 return;
             }
-            mCurrent = attempt;
-            mCurrentBegun = false;
+            mCurrentAttempt = attempt;
+            mCurrentAttemptBegun = false;
         }
         attempt.send();
     }
@@ -274,17 +278,17 @@
      * either the caller is told "not run" and no byte follows, or the byte comes first and the
      * caller is told "unknown".
      */
-    boolean mayBegin(TargetAttempt attempt) {
+    boolean tryBegin(TargetAttempt attempt) {
         synchronized (this) {
-            if (mEnded || attempt != mCurrent) {
+            if (mEnded || attempt != mCurrentAttempt) {
                 return false;
             }
-            mCurrentBegun = true;
+            mCurrentAttemptBegun = true;
             return true;
         }
     }
 
-    private void endHeld() {
+    private void finishQuarantined() {
         SubmissionProgress progress;
         synchronized (this) {
             progress = mProgress;
@@ -293,10 +297,11 @@
         finish(
                 progress.mayHaveRun()
                         ? new Outcome.Unknown(UnknownReason.EARLIER_ATTEMPT)
-                        : new Outcome.NotRun(NotRunReason.QUARANTINED, mQuarantine.heldMillis()));
+                        : new Outcome.NotRun(
+                                NotRunReason.QUARANTINED, mQuarantine.remainingQuarantineMillis()));
     }
 
-    private void endWithoutTarget() {
+    private void finishWithoutTarget() {
         SubmissionProgress progress;
         synchronized (this) {
             progress = mProgress;
@@ -317,19 +322,19 @@
      *
      * @param notSent whether no byte of it was written
      */
-    void predecessorFailed(TargetAttempt attempt, boolean notSent) {
-        boolean fleetServes = notSent && mAsked.repeatable() && mBody.canReplay();
+    void onPredecessorFailed(TargetAttempt attempt, boolean notSent) {
+        boolean fleetServes = notSent && mCallerRequest.idempotent() && mBody.canReplay();
         synchronized (this) {
-            if (mEnded || attempt != mCurrent) {
+            if (mEnded || attempt != mCurrentAttempt) {
                 return;
             }
-            mCurrent = null;
-            mAtPredecessor = !fleetServes;
+            mCurrentAttempt = null;
+            mUsesPredecessor = !fleetServes;
         }
         if (fleetServes) {
             mContext.metrics().predecessorFallbacks().inc();
             mBudget.onRequest();
-            next();
+            startNextAttempt();
             return;
         }
         // The fleet must not take a booking that the older system may have run for an earlier
@@ -342,17 +347,17 @@
     }
 
     /** Takes the end of an attempt that brought no answer of the target. */
-    void attemptEnded(TargetAttempt attempt, Outcome outcome) {
+    void onAttemptEnded(TargetAttempt attempt, Outcome outcome) {
         RetryDecision decision;
         synchronized (this) {
-            if (mEnded || attempt != mCurrent) {
+            if (mEnded || attempt != mCurrentAttempt) {
                 return;
             }
-            mCurrent = null;
+            mCurrentAttempt = null;
             mProgress = mProgress.after(outcome);
             mReachedTarget |= reachedTarget(outcome);
-            settlePay(reachedTarget(outcome));
-            mReport.step(outcome.toString());
+            updateRetryPaid(reachedTarget(outcome));
+            mReporter.recordStep(outcome.toString());
             decision = decide();
         }
         if (decision instanceof RetryDecision.Finish finish) {
@@ -360,7 +365,7 @@
             return;
         }
         mContext.metrics().retries().inc();
-        next();
+        startNextAttempt();
     }
 
     private static boolean reachedTarget(Outcome outcome) {
@@ -374,75 +379,75 @@
         // What reached no target cost none; charging it to the budget would turn the loss of one VM
         // into refusals while the other targets idle.
         boolean free = !reachedTarget(mProgress.lastOutcome());
-        return mContext.repeatPolicy()
+        return mContext.retryPolicy()
                 .decide(
                         mProgress,
-                        leftMillis(),
+                        remainingMillis(),
                         maxRuns(),
                         () -> canReplay && (free || mBudget.tryRetry(mContext.ticker().millis())));
     }
 
     /** Takes the head of the target's answer, and either passes it on or tries another target. */
-    void answered(
+    void onAnswer(
             TargetAttempt attempt, org.eclipse.jetty.client.Response answer, Content.Source body) {
         Outcome.Answered outcome = new Outcome.Answered(answer.getStatus());
         boolean again;
         synchronized (this) {
-            if (mEnded || attempt != mCurrent) {
+            if (mEnded || attempt != mCurrentAttempt) {
                 body.fail(new IllegalStateException("the caller has its answer already"));
                 return;
             }
             mProgress = mProgress.after(outcome);
-            mReport.step(outcome.toString());
+            mReporter.recordStep(outcome.toString());
             // What the older system serves only it retries; with both, retries would multiply.
-            again = !mAtPredecessor && !(decide() instanceof RetryDecision.Finish);
+            again = !mUsesPredecessor && !(decide() instanceof RetryDecision.Finish);
             mReachedTarget = true;
-            settlePay(true);
+            updateRetryPaid(true);
             if (again) {
-                mCurrent = null;
+                mCurrentAttempt = null;
             } else {
                 mEnded = true;
             }
         }
         if (again) {
-            attempt.over();
+            attempt.end();
             mContext.metrics().retries().inc();
-            keep(answer, body);
+            bufferAnswer(answer, body);
             return;
         }
-        pass(attempt, answer, body);
+        forwardAnswer(attempt, answer, body);
     }
 
-    private void keep(org.eclipse.jetty.client.Response answer, Content.Source body) {
-        KeptAnswer.read(answer, body)
+    private void bufferAnswer(org.eclipse.jetty.client.Response answer, Content.Source body) {
+        BufferedAnswer.read(answer, body)
                 .whenComplete(
                         (kept, failure) -> {
                             if (failure != null) {
-                                mReport.step("answer not kept: " + failure.getMessage());
+                                mReporter.recordStep("answer not kept: " + failure.getMessage());
                             }
                             synchronized (this) {
-                                mKept = kept;
+                                mBufferedAnswer = kept;
                             }
-                            next();
+                            startNextAttempt();
                         });
     }
 
-    private void pass(
+    private void forwardAnswer(
             TargetAttempt attempt, org.eclipse.jetty.client.Response answer, Content.Source body) {
         cancelDeadline();
         HangUpEndPoint.release(mRequest);
-        mDelivery.pass(attempt, answer, body);
+        mDelivery.forward(attempt, answer, body);
     }
 
-    private void deadlinePassed() {
+    private void onDeadlinePassed() {
         TargetAttempt attempt;
         boolean mayHaveRun;
         synchronized (this) {
             if (mEnded) {
                 return;
             }
-            attempt = mCurrent;
-            mayHaveRun = mProgress.mayHaveRun() || (attempt != null && mCurrentBegun);
+            attempt = mCurrentAttempt;
+            mayHaveRun = mProgress.mayHaveRun() || (attempt != null && mCurrentAttemptBegun);
         }
         finish(
                 mayHaveRun
@@ -453,14 +458,14 @@
         }
     }
 
-    private void callerGone(Throwable cause) {
+    private void onCallerDisconnected(Throwable cause) {
         TargetAttempt attempt;
         synchronized (this) {
             if (mEnded) {
                 return;
             }
             mEnded = true;
-            attempt = mCurrent;
+            attempt = mCurrentAttempt;
         }
         cancelDeadline();
         if (attempt != null) {
@@ -479,19 +484,19 @@
         }
         cancelDeadline();
         HangUpEndPoint.release(mRequest);
-        KeptAnswer kept;
+        BufferedAnswer kept;
         synchronized (this) {
-            kept = mKept;
+            kept = mBufferedAnswer;
         }
         if (kept != null) {
-            mDelivery.deliver(kept);
+            mDelivery.writeBuffered(kept);
         } else {
-            mDelivery.tell(outcome);
+            mDelivery.writeOutcome(outcome);
         }
     }
 
     private void cancelDeadline() {
-        Scheduler.Task deadline = mDeadline;
+        Scheduler.Task deadline = mDeadlineTask;
         if (deadline != null) {
             deadline.cancel();
         }
--- a/src/main/java/org/apricotgauge/caller/CallerRequest.java
+++ b/src/main/java/org/apricotgauge/caller/CallerRequest.java
@@ -16,7 +16,7 @@
  * @param requester who asks
  * @param priority how long its caller can wait
  * @param timeoutMillis time it may take in all, in milliseconds
- * @param repeatable whether it may run more than once
+ * @param idempotent whether it may run more than once
  * @param key its idempotency key, if it has one
  */
 record CallerRequest(
@@ -24,7 +24,7 @@
         Requester requester,
         Priority priority,
         long timeoutMillis,
-        boolean repeatable,
+        boolean idempotent,
         Optional<IdempotencyKey> key) {
 
     /**
--- a/src/main/java/org/apricotgauge/caller/AnswerKeeper.java
+++ b/src/main/java/org/apricotgauge/caller/CapturingResponse.java
@@ -14,20 +14,20 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** A response that keeps a copy of a small body while it is written. */
-final class AnswerKeeper extends Response.Wrapper {
+final class CapturingResponse extends Response.Wrapper {
     private static final long HEARTBEAT_MILLIS = 1_000;
 
-    private final int mLimitBytes;
+    private final int mMaxBodyBytes;
     private final Scheduler mScheduler;
-    private final ByteArrayOutputStream mKept = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream mCapturedBody = new ByteArrayOutputStream();
     private long mBodyBytes;
-    private CompletableFuture<Void> mInterim = CompletableFuture.completedFuture(null);
-    private Scheduler.Task mHeartbeat;
-    private boolean mHeartbeatEnded;
+    private CompletableFuture<Void> mInterimWrite = CompletableFuture.completedFuture(null);
+    private Scheduler.Task mHeartbeatTask;
+    private boolean mHeartbeatStopped;
 
-    AnswerKeeper(Request request, Response response, int limitBytes, Scheduler scheduler) {
+    CapturingResponse(Request request, Response response, int limitBytes, Scheduler scheduler) {
         super(request, response);
-        mLimitBytes = limitBytes;
+        mMaxBodyBytes = limitBytes;
         mScheduler = scheduler;
     }
 
@@ -37,48 +37,48 @@
      * <p>Said once only, a booking of some seconds looks to the entry like a dead path; the entry
      * asks again and its caller is told 409 for a booking that is well under way.
      */
-    synchronized CompletableFuture<Void> acknowledge() {
-        if (mHeartbeatEnded) {
-            return mInterim;
+    synchronized CompletableFuture<Void> sendHeartbeat() {
+        if (mHeartbeatStopped) {
+            return mInterimWrite;
         }
-        if (mInterim.isDone()) {
-            mInterim = super.writeInterim(HttpStatus.PROCESSING_102, HttpFields.EMPTY);
+        if (mInterimWrite.isDone()) {
+            mInterimWrite = super.writeInterim(HttpStatus.PROCESSING_102, HttpFields.EMPTY);
         }
-        mHeartbeat =
-                mScheduler.schedule(this::acknowledge, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
-        return mInterim;
+        mHeartbeatTask =
+                mScheduler.schedule(this::sendHeartbeat, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
+        return mInterimWrite;
     }
 
     synchronized CompletableFuture<Void> stopHeartbeat() {
-        mHeartbeatEnded = true;
-        if (mHeartbeat != null) {
-            mHeartbeat.cancel();
+        mHeartbeatStopped = true;
+        if (mHeartbeatTask != null) {
+            mHeartbeatTask.cancel();
         }
-        return mInterim;
+        return mInterimWrite;
     }
 
     @Override
     public void write(boolean last, ByteBuffer content, Callback callback) {
-        keep(content);
+        capture(content);
         // Two writes at once would clash.
         stopHeartbeat().whenComplete((written, failure) -> super.write(last, content, callback));
     }
 
-    private synchronized void keep(ByteBuffer content) {
+    private synchronized void capture(ByteBuffer content) {
         if (content == null || !content.hasRemaining()) {
             return;
         }
         mBodyBytes += content.remaining();
-        if (mBodyBytes <= mLimitBytes) {
+        if (mBodyBytes <= mMaxBodyBytes) {
             byte[] bytes = new byte[content.remaining()];
             content.slice().get(bytes);
-            mKept.writeBytes(bytes);
+            mCapturedBody.writeBytes(bytes);
         }
     }
 
     /** Returns what was written; without its body if that was too long. */
-    synchronized StoredAnswer answer() {
-        if (mBodyBytes > mLimitBytes) {
+    synchronized StoredAnswer storedAnswer() {
+        if (mBodyBytes > mMaxBodyBytes) {
             return StoredAnswer.withoutBody(getStatus(), mBodyBytes);
         }
         String type = getHeaders().get(HttpHeader.CONTENT_TYPE);
@@ -86,6 +86,6 @@
                 getStatus(),
                 type == null ? "" : type,
                 mBodyBytes,
-                ByteBuffer.wrap(mKept.toByteArray()));
+                ByteBuffer.wrap(mCapturedBody.toByteArray()));
     }
 }
--- a/src/main/java/org/apricotgauge/caller/DirectAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/DirectAttempt.java
@@ -24,45 +24,45 @@
     private final CallerExchange mExchange;
     private final EntryContext mContext;
     private final Candidate mCandidate;
-    private final AttemptAccount mAccount;
+    private final AttemptTracker mTracker;
     private volatile UpstreamExchange mUpstream;
     private volatile boolean mAbandoned;
-    private volatile boolean mWithheld;
+    private volatile boolean mQuarantined;
 
     DirectAttempt(CallerExchange exchange, Candidate candidate) {
         mExchange = exchange;
         mContext = exchange.context();
         mCandidate = candidate;
-        mAccount = new AttemptAccount(mContext, candidate);
+        mTracker = new AttemptTracker(mContext, candidate);
     }
 
     @Override
     public void send() {
-        mAccount.begin();
-        int nodes = mContext.observer().nodes();
+        mTracker.begin();
+        int nodes = mContext.observer().nodeCount();
         if (!mCandidate.load().tryStartDirect(nodes, mContext.ticker().millis())) {
-            over();
-            mAccount.observed(ObservedOutcome.CANCELLED);
-            mExchange.attemptEnded(this, new Outcome.NotRun(NotRunReason.BUSY, 0));
+            end();
+            mTracker.recordOutcome(ObservedOutcome.CANCELLED);
+            mExchange.onAttemptEnded(this, new Outcome.NotRun(NotRunReason.BUSY, 0));
             return;
         }
         org.eclipse.jetty.server.Request from = mExchange.request();
         Request to =
-                mContext.direct()
+                mContext.directClient()
                         .newRequest(mCandidate.target().host(), mCandidate.target().port())
                         .method(from.getMethod())
                         .path(from.getHttpURI().getPathQuery());
-        long leftMillis = Math.max(1, mExchange.leftMillis());
+        long leftMillis = Math.max(1, mExchange.remainingMillis());
         to.headers(
                 headers -> {
                     ForwardedHeaders.copyRequest(from.getHeaders(), headers);
-                    mExchange.asked().requester().hideCredentials(headers);
+                    mExchange.callerRequest().requester().removeCredentials(headers);
                     mContext.dialect()
                             .towardsTarget(
                                     headers,
                                     mCandidate.target().id(),
                                     leftMillis,
-                                    mExchange.asked().requester().told());
+                                    mExchange.callerRequest().requester().forwardedMemberId());
                 });
         to.body(mExchange.quarantine().hashedBody());
         mUpstream = UpstreamExchange.send(to, this);
@@ -70,53 +70,54 @@
 
     @Override
     public boolean onBegin() {
-        mWithheld = mExchange.quarantine().heldMillis() > 0;
-        return !mWithheld && mExchange.mayBegin(this);
+        mQuarantined = mExchange.quarantine().remainingQuarantineMillis() > 0;
+        return !mQuarantined && mExchange.tryBegin(this);
     }
 
     @Override
     public void onAnswer(Response answer, Content.Source body) {
         TargetNotice notice = mContext.dialect().noticeOf(answer.getHeaders());
         if (notice.leaving()) {
-            mContext.observer().targetLeaving(mCandidate.target());
+            mContext.observer().onTargetLeaving(mCandidate.target());
         }
         if (notice.unreadable().isEmpty()) {
             mCandidate.load().setStartLimit(notice.limit().orElse(null));
         }
-        mAccount.observed(AttemptAccount.outcomeOf(answer.getStatus()));
+        mTracker.recordOutcome(AttemptTracker.outcomeOf(answer.getStatus()));
         if (HttpStatus.isSuccess(answer.getStatus())) {
             mContext.quarantine().recordSuccess(mExchange.quarantine().fingerprint());
         }
-        mExchange.answered(this, answer, body);
+        mExchange.onAnswer(this, answer, body);
     }
 
     @Override
     public void onFailure(UpstreamExchange.Failure failure) {
-        over();
-        if (mWithheld) {
-            mAccount.observed(ObservedOutcome.CANCELLED);
-            long heldMillis = mExchange.quarantine().heldMillis();
-            mExchange.attemptEnded(this, new Outcome.NotRun(NotRunReason.QUARANTINED, heldMillis));
+        end();
+        if (mQuarantined) {
+            mTracker.recordOutcome(ObservedOutcome.CANCELLED);
+            long heldMillis = mExchange.quarantine().remainingQuarantineMillis();
+            mExchange.onAttemptEnded(
+                    this, new Outcome.NotRun(NotRunReason.QUARANTINED, heldMillis));
             return;
         }
-        mAccount.observed(ObservedOutcome.PATH_FAULT);
+        mTracker.recordOutcome(ObservedOutcome.PATH_FAULT);
         mContext.metrics().pathFaults().inc();
         if (failure.progress() == UpstreamExchange.Progress.NOT_SENT) {
-            mExchange.attemptEnded(this, new Outcome.NotRun(NotRunReason.NEVER_SENT, 0));
+            mExchange.onAttemptEnded(this, new Outcome.NotRun(NotRunReason.NEVER_SENT, 0));
             return;
         }
         if (mAbandoned) {
             return;
         }
-        mContext.exits()
-                .broken(mCandidate.target(), run())
+        mContext.exitDetector()
+                .broken(mCandidate.target(), brokenRun())
                 .whenComplete(
                         (told, ignored) ->
-                                mExchange.attemptEnded(
+                                mExchange.onAttemptEnded(
                                         this, new Outcome.Unknown(UnknownReason.NO_GUARD)));
     }
 
-    private BrokenRun run() {
+    private BrokenRun brokenRun() {
         return new BrokenRun(
                 mContext.dialect().requestId(mExchange.request().getHeaders()),
                 mExchange.quarantine().fingerprint(),
@@ -126,13 +127,13 @@
     @Override
     public void abandon() {
         mAbandoned = true;
-        over();
-        mAccount.observed(ObservedOutcome.TIMEOUT);
-        AttemptAccount.abort(mUpstream);
+        end();
+        mTracker.recordOutcome(ObservedOutcome.TIMEOUT);
+        AttemptTracker.abort(mUpstream);
     }
 
     @Override
-    public void over() {
-        mAccount.over();
+    public void end() {
+        mTracker.end();
     }
 }
--- a/src/main/java/org/apricotgauge/caller/EntryContext.java
+++ b/src/main/java/org/apricotgauge/caller/EntryContext.java
@@ -15,42 +15,42 @@
  * What all requests of one entry share.
  *
  * @param guards talks to the guards of other VMs
- * @param direct sends to targets that have no node beside them
- * @param ids names attempts
- * @param repeatPolicy whether a request is sent again
+ * @param directClient sends to targets that have no node beside them
+ * @param attemptIds names attempts
+ * @param retryPolicy whether a request is sent again
  * @param scheduler runs timeouts
  * @param ticker the entry's clock
  * @param observer hears how attempts ended
  * @param probes which ejected targets to try
- * @param lag how late this process runs
+ * @param lagMeter how late this process runs
  * @param dialect headers of the site's callers and targets
- * @param reach which ways lead to a target
- * @param exits tells which targets ended while requests from here ran
+ * @param targetAccess which ways lead to a target
+ * @param exitDetector tells which targets ended while requests from here ran
  * @param quarantine which requests are kept from targets
- * @param log tells how requests ended
+ * @param requestLog tells how requests ended
  * @param metrics counters
  */
 record EntryContext(
         GuardClient guards,
-        HttpClient direct,
-        AttemptIdGenerator ids,
-        RetryPolicy repeatPolicy,
+        HttpClient directClient,
+        AttemptIdGenerator attemptIds,
+        RetryPolicy retryPolicy,
         Scheduler scheduler,
         Ticker ticker,
         EntryObserver observer,
         ProbeSource probes,
-        LagMeter lag,
+        LagMeter lagMeter,
         SiteDialect dialect,
-        EntryOptions.Reach reach,
-        ExitWatch exits,
+        EntryOptions.TargetAccess targetAccess,
+        ExitWatch exitDetector,
         QuarantineTable quarantine,
-        DecisionLog log,
+        RequestLog requestLog,
         EntryMetrics metrics) {
 
     /**
      * Returns whether there is a guard beside the target that did not refuse a connection just now.
      */
-    boolean hasGuardUp(Candidate candidate) {
+    boolean hasReachableGuard(Candidate candidate) {
         return candidate.guard() != null && !guards.isDown(candidate.guard());
     }
 }
--- a/src/main/java/org/apricotgauge/caller/EntryHandler.java
+++ b/src/main/java/org/apricotgauge/caller/EntryHandler.java
@@ -47,16 +47,16 @@
     /** A pause is over, and a caller of a stopping node is sent elsewhere, in about a second. */
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    private final Supplier<RoutingTable> mTable;
-    private final MemberLimits mLimits;
+    private final Supplier<RoutingTable> mRoutingTable;
+    private final MemberRateLimiter mRateLimiter;
     private final BooleanSupplier mStopping;
-    private final BooleanSupplier mMayAct;
+    private final BooleanSupplier mStateConfirmed;
     private final EntryContext mContext;
     private final AtomicInteger mInFlight = new AtomicInteger();
-    private final RequesterReader mRequesters;
-    private final RetryBudgetRegistry mBudgets;
-    private final KeyedRequests mKeyed;
-    private volatile boolean mLeft;
+    private final RequesterResolver mRequesterResolver;
+    private final RetryBudgetRegistry mRetryBudgets;
+    private final KeyedRequestHandler mKeyedRequestHandler;
+    private volatile boolean mDraining;
 
     /**
      * Creates the handler.
@@ -88,51 +88,51 @@
             EntryObserver observer,
             ProbeSource probes,
             QuarantineTable quarantine,
-            MemberLimits limits,
+            MemberRateLimiter limits,
             EntryOptions options,
             MetricRegistry registry) {
-        mTable = table;
-        mLimits = limits;
+        mRoutingTable = table;
+        mRateLimiter = limits;
         mStopping = stopping;
-        mMayAct = mayAct;
+        mStateConfirmed = mayAct;
         mContext =
                 new EntryContext(
                         guards,
                         direct,
                         ids,
-                        options.repeatPolicy(),
+                        options.retryPolicy(),
                         scheduler,
                         ticker,
                         observer,
                         probes,
                         new LagMeter(scheduler, ticker),
                         options.dialect(),
-                        options.reach(),
+                        options.targetAccess(),
                         ExitWatch.of(
                                 direct,
                                 scheduler,
-                                target -> mTable.get().acceptsRequests(target),
-                                observer::targetEnded),
+                                target -> mRoutingTable.get().acceptsRequests(target),
+                                observer::onTargetEnded),
                         quarantine,
-                        new DecisionLog(ticker),
+                        new RequestLog(ticker),
                         EntryMetrics.of(registry));
-        mRequesters = new RequesterReader(mContext.dialect(), mContext.log());
-        mKeyed = new KeyedRequests(mContext, options.keyLimits());
-        mBudgets = new RetryBudgetRegistry(options.entryRetries(), ticker.millis());
+        mRequesterResolver = new RequesterResolver(mContext.dialect(), mContext.requestLog());
+        mKeyedRequestHandler = new KeyedRequestHandler(mContext, options.keyLimits());
+        mRetryBudgets = new RetryBudgetRegistry(options.entryRetryAllowance(), ticker.millis());
     }
 
     /** Starts what runs beside the requests; the scheduler must have been started. */
-    public void open() {
-        mContext.lag().start();
+    public void startBackgroundTasks() {
+        mContext.lagMeter().start();
     }
 
     /** Refuses requests that come from now on, as not run; those that are here go on. */
-    public void leave() {
-        mLeft = true;
+    public void drain() {
+        mDraining = true;
     }
 
     /** Counts a request that was refused before it could be read. */
-    public void refused() {
+    public void countBadRequest() {
         mContext.metrics().badRequests().inc();
     }
 
@@ -144,7 +144,7 @@
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
         mContext.metrics().requests().inc();
-        Callback counted = counted(callback);
+        Callback counted = countInFlight(callback);
         if (mStopping.getAsBoolean()) {
             response.getHeaders().put(HttpHeader.CONNECTION, "close");
         }
@@ -152,47 +152,48 @@
             refuse(response, counted, HttpStatus.LOOP_DETECTED_508, "request came here before");
             return true;
         }
-        Optional<NotRunReason> unable = unable();
+        Optional<NotRunReason> unable = refusalReason();
         if (unable.isPresent()) {
-            tellNotRun(response, counted, unable.get());
+            writeNotRun(response, counted, unable.get());
             return true;
         }
-        Routed routed = route(request, response, counted, mRequesters::ofCaller);
+        RoutedRequest routed = route(request, response, counted, mRequesterResolver::resolveCaller);
         if (routed == null) {
             return true;
         }
-        Optional<Candidate> home = homeOf(routed);
+        Optional<Candidate> home = ownerOf(routed);
         if (home.isPresent() && home.get().guard() == null) {
             // Run without the memory of its home, the key could run once more through an entry
             // that sees the home.
-            tellNotRun(response, counted, NotRunReason.KEY_HOME_UNREACHABLE);
+            writeNotRun(response, counted, NotRunReason.KEY_HOME_UNREACHABLE);
             return true;
         }
         CallerExchange exchange =
                 new CallerExchange(
                         mContext,
                         routed.table(),
-                        present(routed.table()),
+                        currentTable(routed.table()),
                         routed.version(),
-                        mBudgets.of(routed.table().service(), 1),
-                        routed.asked(),
+                        mRetryBudgets.of(routed.table().service(), 1),
+                        routed.callerRequest(),
                         request,
                         response,
                         counted);
-        startWithinLimit(
+        startWithinRateLimit(
                 exchange,
-                routed.asked().requester(),
-                () -> home.ifPresentOrElse(exchange::startAtHome, exchange::start));
+                routed.callerRequest().requester(),
+                () -> home.ifPresentOrElse(exchange::startAtOwner, exchange::start));
         return true;
     }
 
-    private void startWithinLimit(CallerExchange exchange, Requester requester, Runnable start) {
+    private void startWithinRateLimit(
+            CallerExchange exchange, Requester requester, Runnable start) {
         Optional<Member> limited = requester.member().filter(member -> member.limit() != null);
         if (limited.isEmpty()) {
             start.run();
             return;
         }
-        mLimits.take(
+        mRateLimiter.acquire(
                 limited.get(),
                 verdict -> {
                     if (verdict instanceof RateLimitDecision.Granted) {
@@ -210,20 +211,20 @@
     }
 
     /** Returns why this node takes no request at all now, if so. */
-    private Optional<NotRunReason> unable() {
+    private Optional<NotRunReason> refusalReason() {
         // What came now could not end before the stop does; its caller is told to come back, by
         // when it has been sent elsewhere.
-        if (mLeft) {
+        if (mDraining) {
             return Optional.of(NotRunReason.LEAVING);
         }
         // A process that was paused would send work by what it knew before: to targets that have
         // left, or by a version that is long out of force. It is confirmed in about a second.
-        return mMayAct.getAsBoolean()
+        return mStateConfirmed.getAsBoolean()
                 ? Optional.empty()
                 : Optional.of(NotRunReason.STATE_UNCONFIRMED);
     }
 
-    private void tellNotRun(Response response, Callback callback, NotRunReason reason) {
+    private void writeNotRun(Response response, Callback callback, NotRunReason reason) {
         mContext.metrics().notRun().inc();
         Outcome.NotRun outcome = new Outcome.NotRun(reason, RETRY_AFTER_MILLIS);
         Outcomes.write(response, callback, outcome, mContext.dialect());
@@ -231,19 +232,19 @@
 
     /** Serves a request that another node sent here because this one remembers its key. */
     public boolean handleKeyed(Request request, Response response, Callback callback) {
-        Callback counted = counted(callback);
-        Routed routed = route(request, response, counted, RequesterReader::ofHop);
+        Callback counted = countInFlight(callback);
+        RoutedRequest routed = route(request, response, counted, RequesterResolver::resolveHop);
         if (routed == null) {
             return true;
         }
-        if (routed.asked().key().isEmpty()) {
+        if (routed.callerRequest().key().isEmpty()) {
             refuse(response, counted, HttpStatus.BAD_REQUEST_400, "no " + IdempotencyKey.HEADER);
             return true;
         }
-        mKeyed.handle(
-                routed.asked().key().get(),
+        mKeyedRequestHandler.handle(
+                routed.callerRequest().key().get(),
                 routed.table(),
-                PredecessorShare.covers(routed.table().service(), routed.asked(), request),
+                PredecessorShare.covers(routed.table().service(), routed.callerRequest(), request),
                 request,
                 response,
                 counted,
@@ -251,10 +252,10 @@
                         new CallerExchange(
                                         mContext,
                                         routed.table(),
-                                        present(routed.table()),
+                                        currentTable(routed.table()),
                                         routed.version(),
-                                        mBudgets.of(routed.table().service(), 1),
-                                        routed.asked(),
+                                        mRetryBudgets.of(routed.table().service(), 1),
+                                        routed.callerRequest(),
                                         request,
                                         keeper,
                                         ended)
@@ -263,12 +264,12 @@
     }
 
     /** Returns the service as it is whenever it is asked for; as it was read, if it is gone. */
-    private Supplier<ServiceTable> present(ServiceTable read) {
-        return () -> mTable.get().service(read.service().id()).orElse(read);
+    private Supplier<ServiceTable> currentTable(ServiceTable read) {
+        return () -> mRoutingTable.get().service(read.service().id()).orElse(read);
     }
 
     /** What a request asks for, and the service that shall answer it. */
-    private record Routed(CallerRequest asked, ServiceTable table, long version) {}
+    private record RoutedRequest(CallerRequest callerRequest, ServiceTable table, long version) {}
 
     /** Tells who asks; nothing if the request may not come in. */
     @FunctionalInterface
@@ -284,9 +285,9 @@
     }
 
     /** Finds the route and checks the head; answers and returns null if that fails. */
-    private Routed route(
+    private RoutedRequest route(
             Request request, Response response, Callback callback, RequesterLookup requesters) {
-        RoutingTable table = mTable.get();
+        RoutingTable table = mRoutingTable.get();
         String path = request.getHttpURI().getPath();
         Optional<Route> route =
                 table.routes().find(Request.getServerName(request), path == null ? "/" : path);
@@ -311,7 +312,7 @@
                             route.get(),
                             requester.get(),
                             mContext.dialect());
-            return new Routed(asked, service.get(), table.version());
+            return new RoutedRequest(asked, service.get(), table.version());
         } catch (IllegalArgumentException e) {
             refuse(response, callback, HttpStatus.BAD_REQUEST_400, e.getMessage());
             return null;
@@ -322,17 +323,21 @@
      * Returns the home of the request's key, with or without a node that is seen; nothing if no
      * memory is needed, or if no target of the service has a node, so that there is no memory.
      */
-    private static Optional<Candidate> homeOf(Routed routed) {
+    private static Optional<Candidate> ownerOf(RoutedRequest routed) {
         List<Candidate> all = routed.table().all();
         boolean hasMemory = all.stream().anyMatch(one -> one.guard() != null);
-        if (routed.asked().repeatable() || routed.asked().key().isEmpty() || !hasMemory) {
+        if (routed.callerRequest().idempotent()
+                || routed.callerRequest().key().isEmpty()
+                || !hasMemory) {
             return Optional.empty();
         }
-        String home = KeyOwner.of(routed.asked().key().get(), KeyHomes.targetIds(routed.table()));
+        String home =
+                KeyOwner.of(
+                        routed.callerRequest().key().get(), KeyOwners.targetIds(routed.table()));
         return all.stream().filter(one -> one.target().id().equals(home)).findFirst();
     }
 
-    private Callback counted(Callback callback) {
+    private Callback countInFlight(Callback callback) {
         mInFlight.incrementAndGet();
         return Callback.from(callback, mInFlight::decrementAndGet);
     }
--- a/src/main/java/org/apricotgauge/caller/EntryMetrics.java
+++ b/src/main/java/org/apricotgauge/caller/EntryMetrics.java
@@ -14,13 +14,13 @@
         Counter retries,
         Counter fences,
         Counter pathFaults,
-        Counter mismatched,
+        Counter mismatchedAnswers,
         Counter badRequests,
         Counter denied,
         Counter brokenAnswers,
         Counter predecessorRequests,
         Counter predecessorFallbacks,
-        Timer total) {
+        Timer totalTime) {
 
     static EntryMetrics of(MetricRegistry registry) {
         return new EntryMetrics(
--- a/src/main/java/org/apricotgauge/caller/EntryObserver.java
+++ b/src/main/java/org/apricotgauge/caller/EntryObserver.java
@@ -19,10 +19,10 @@
      * @param outcome how it ended
      * @param totalMicros time from sending it to the head of the answer, in microseconds
      */
-    void attempted(Target target, ObservedOutcome outcome, long totalMicros);
+    void onAttemptEnded(Target target, ObservedOutcome outcome, long totalMicros);
 
     /** Returns how many nodes there are. */
-    int nodes();
+    int nodeCount();
 
     /** Returns what this node knows of the site now, for the line of a decision. */
     SiteView siteView();
@@ -30,41 +30,41 @@
     /**
      * Called before each attempt is sent to a guard, to add what the guard should learn.
      *
-     * @return a time to give to {@link #guardAcknowledged}
+     * @return a time to give to {@link #onGuardAcknowledged}
      */
-    long beforeHop(HttpFields.Mutable headers);
+    long addHopHeaders(HttpFields.Mutable headers);
 
     /**
      * Called with the head of each acknowledgement of a guard.
      *
-     * @param askedMillis what {@link #beforeHop} returned
+     * @param askedMillis what {@link #addHopHeaders} returned
      */
-    void guardAcknowledged(HttpFields headers, long askedMillis);
+    void onGuardAcknowledged(HttpFields headers, long askedMillis);
 
     /** Called with the head of each answer of a guard, for what it tells beside the answer. */
-    void guardAnswered(Target target, HttpFields headers);
+    void onGuardAnswered(Target target, HttpFields headers);
 
     /** Called once for each request with what its caller is told. */
-    void told(String service, Outcome outcome);
+    void onRequestEnded(String service, Outcome outcome);
 
     /** Returns whether a request, by its id, is at work at a target of this VM. */
-    boolean isAtWork(String requestId);
+    boolean isRunning(String requestId);
 
     /** Returns whether a request at a target of this VM, by its id, ran at another before. */
-    boolean isRepeat(String requestId);
+    boolean isRetry(String requestId);
 
     /** Called when a call that a target made for another request, of this id, has failed. */
-    void callFailed(String parentId);
+    void onNestedCallFailed(String parentId);
 
     /** Called when a target says in an answer, or its guard tells, that it leaves. */
-    void targetLeaving(Target target);
+    void onTargetLeaving(Target target);
 
     /**
      * Called when the process of a target that was reached directly ended while it ran requests.
      *
      * @param runs the requests that were at work
      */
-    void targetEnded(Target target, List<BrokenRun> runs);
+    void onTargetEnded(Target target, List<BrokenRun> runs);
 
     /**
      * Called once for each fence.
@@ -73,5 +73,5 @@
      * @param attempt the attempt's id
      * @param answer the guard's word, or null if none came in time
      */
-    void fenced(Target target, String attempt, FenceAnswer answer);
+    void onFenceEnded(Target target, String attempt, FenceAnswer answer);
 }
--- a/src/main/java/org/apricotgauge/caller/EntryOptions.java
+++ b/src/main/java/org/apricotgauge/caller/EntryOptions.java
@@ -16,31 +16,31 @@
  * }</pre>
  *
  * @param dialect headers of the site's callers and targets
- * @param reach whether targets can be reached past their guards
- * @param repeatPolicy how often a request is sent
+ * @param targetAccess whether targets can be reached past their guards
+ * @param retryPolicy how often a request is sent
  * @param keyLimits bounds of the memory of Idempotency-Keys
- * @param entryRetries which retries the entry may send
- * @param guardRetries which retries the guard lets through to a target
+ * @param entryRetryAllowance which retries the entry may send
+ * @param guardRetryAllowance which retries the guard lets through to a target
  */
 public record EntryOptions(
         SiteDialect dialect,
-        Reach reach,
-        RetryPolicy repeatPolicy,
+        TargetAccess targetAccess,
+        RetryPolicy retryPolicy,
         KeyLimits keyLimits,
-        RetryAllowancePolicy entryRetries,
-        RetryAllowancePolicy guardRetries) {
+        RetryAllowancePolicy entryRetryAllowance,
+        RetryAllowancePolicy guardRetryAllowance) {
 
     /** Which ways lead to a target. */
-    public enum Reach {
+    public enum TargetAccess {
         /** Through its guard or, where there is none, straight. */
-        ANY_WAY,
+        GUARD_OR_DIRECT,
         /** Through its guard alone: nothing but processes of its own VM can connect to a target. */
         GUARDS_ONLY
     }
 
     /** Returns who uses the slots of targets. */
     public AdmissionConfig.SlotUse slotUse() {
-        return reach == Reach.GUARDS_ONLY
+        return targetAccess == TargetAccess.GUARDS_ONLY
                 ? AdmissionConfig.SlotUse.EXCLUSIVE
                 : AdmissionConfig.SlotUse.SHARED;
     }
@@ -48,18 +48,18 @@
     /** Checks the parts. */
     public EntryOptions {
         Checks.notNull("dialect", dialect);
-        Checks.notNull("reach", reach);
-        Checks.notNull("repeatPolicy", repeatPolicy);
+        Checks.notNull("reach", targetAccess);
+        Checks.notNull("repeatPolicy", retryPolicy);
         Checks.notNull("keyLimits", keyLimits);
-        Checks.notNull("entryRetries", entryRetries);
-        Checks.notNull("guardRetries", guardRetries);
+        Checks.notNull("entryRetries", entryRetryAllowance);
+        Checks.notNull("guardRetries", guardRetryAllowance);
     }
 
     /** Returns the options of a site that speaks the fleet's own dialect. */
     public static EntryOptions of(KeyLimits keyLimits) {
         return new EntryOptions(
                 FleetDialect.INSTANCE,
-                Reach.ANY_WAY,
+                TargetAccess.GUARD_OR_DIRECT,
                 RetryPolicy.DEFAULT,
                 keyLimits,
                 RetryAllowancePolicy.PER_NODE,
--- a/src/main/java/org/apricotgauge/caller/ExchangeReport.java
+++ b/src/main/java/org/apricotgauge/caller/ExchangeReporter.java
@@ -11,9 +11,9 @@
 import org.eclipse.jetty.server.Request;
 
 /** What one exchange tells counters and the log: the steps that it took, and how it ended. */
-final class ExchangeReport {
+final class ExchangeReporter {
     private final EntryContext mContext;
-    private final CallerRequest mAsked;
+    private final CallerRequest mCallerRequest;
     private final String mService;
     private final long mVersion;
     private final Request mRequest;
@@ -21,7 +21,7 @@
     private final long mStartNanos;
     private final List<String> mSteps = new ArrayList<>(2);
 
-    ExchangeReport(
+    ExchangeReporter(
             EntryContext context,
             CallerRequest asked,
             String service,
@@ -30,7 +30,7 @@
             Optional<String> parentId) {
         mParentId = parentId;
         mContext = context;
-        mAsked = asked;
+        mCallerRequest = asked;
         mService = service;
         mVersion = version;
         mRequest = request;
@@ -38,9 +38,9 @@
     }
 
     /** Notes that the request goes to a target, and by which view of the site. */
-    void sending(Candidate candidate, String caution) {
+    void recordSend(Candidate candidate, String caution) {
         SiteView view = mContext.observer().siteView();
-        step(
+        recordStep(
                 candidate.target().id()
                         + " at "
                         + candidate.target().host()
@@ -54,29 +54,29 @@
     }
 
     /** Notes a step that is neither a sending nor an outcome. */
-    synchronized void step(String step) {
+    synchronized void recordStep(String step) {
         mSteps.add(step);
     }
 
     /** Tells what the caller is told. */
-    void told(Outcome outcome) {
+    void recordOutcome(Outcome outcome) {
         long tookNanos = mContext.ticker().nanos() - mStartNanos;
-        mContext.observer().told(mService, outcome);
-        mContext.metrics().total().update(tookNanos, TimeUnit.NANOSECONDS);
+        mContext.observer().onRequestEnded(mService, outcome);
+        mContext.metrics().totalTime().update(tookNanos, TimeUnit.NANOSECONDS);
         boolean well =
                 outcome instanceof Outcome.Answered answered
                         && !HttpStatus.isServerError(answered.status());
         if (!isSuccess(outcome)) {
-            mParentId.ifPresent(mContext.observer()::callFailed);
+            mParentId.ifPresent(mContext.observer()::onNestedCallFailed);
         }
-        if (well && !mContext.log().samples()) {
+        if (well && !mContext.requestLog().shouldSample()) {
             return;
         }
-        mContext.log()
-                .ended(
-                        new DecisionLog.Ended(
+        mContext.requestLog()
+                .logEnded(
+                        new RequestLog.EndedRequest(
                                 mContext.dialect().requestId(mRequest.getHeaders()),
-                                mAsked.route().id(),
+                                mCallerRequest.route().id(),
                                 mService,
                                 outcome.toString(),
                                 steps(),
--- a/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
@@ -35,40 +35,41 @@
  */
 final class GuardedAttempt implements TargetAttempt, UpstreamExchange.Listener {
     /** Longest wait for the answer to a fence, a new connection included. */
-    static final long FENCE_MILLIS = 2_000;
+    static final long FENCE_TIMEOUT_MILLIS = 2_000;
 
     /** Part of the time left that a guard may not use, so that its word arrives before the end. */
-    private static final long MARGIN_MILLIS = 100;
+    private static final long MAX_DEADLINE_MARGIN_MILLIS = 100;
 
     /** The margin is at most this part of the time left. */
-    private static final long MARGIN_PART = 10;
+    private static final long DEADLINE_MARGIN_DIVISOR = 10;
 
     /** As sick as a target counts right after a failure. */
-    private static final double DISTRUSTED = 0.95;
+    private static final double PROBABILITY_AFTER_FAILURE = 0.95;
 
     private final CallerExchange mExchange;
     private final EntryContext mContext;
     private final Candidate mCandidate;
-    private final AttemptAccount mAccount;
+    private final AttemptTracker mTracker;
     private final AtomicBoolean mFencing = new AtomicBoolean();
     private volatile Attempt mAttempt;
-    private volatile long mAskedMillis;
+    private volatile long mHopStartMillis;
     private volatile UpstreamExchange mUpstream;
-    private volatile Scheduler.Task mSilence;
-    private volatile boolean mHeard;
-    private volatile boolean mGivenUp;
+    private volatile Scheduler.Task mTimeoutTask;
+    private volatile boolean mAcknowledged;
+    private volatile boolean mWithheld;
 
     GuardedAttempt(CallerExchange exchange, Candidate candidate) {
         mExchange = exchange;
         mContext = exchange.context();
         mCandidate = candidate;
-        mAccount = new AttemptAccount(mContext, candidate);
+        mTracker = new AttemptTracker(mContext, candidate);
     }
 
     @Override
     public void send() {
-        mAccount.begin();
-        long waitMillis = Math.max(1, Math.min(firstWordMillis(), mExchange.leftMillis()));
+        mTracker.begin();
+        long waitMillis =
+                Math.max(1, Math.min(acknowledgementTimeoutMillis(), mExchange.remainingMillis()));
         mContext.guards()
                 .sighting(mCandidate.guard(), waitMillis)
                 .whenComplete(
@@ -76,35 +77,38 @@
                             if (failure == null) {
                                 sendTo(sighting);
                             } else {
-                                unreachable();
+                                onGuardUnreachable();
                             }
                         });
     }
 
-    private void unreachable() {
-        over();
-        distrust();
-        mAccount.observed(ObservedOutcome.PATH_FAULT);
+    private void onGuardUnreachable() {
+        end();
+        recordPathFailure();
+        mTracker.recordOutcome(ObservedOutcome.PATH_FAULT);
         mContext.metrics().pathFaults().inc();
         mContext.guards().connectFailed(mCandidate.guard());
-        mExchange.attemptEnded(this, new Outcome.NotRun(NotRunReason.NEVER_SENT, 0));
+        mExchange.onAttemptEnded(this, new Outcome.NotRun(NotRunReason.NEVER_SENT, 0));
     }
 
     private void sendTo(GuardClockEstimate sighting) {
-        long leftMillis = mExchange.leftMillis();
+        long leftMillis = mExchange.remainingMillis();
         if (leftMillis <= 0) {
-            over();
+            end();
             return;
         }
         long untilMillis =
-                mExchange.deadlineMillis() - Math.min(MARGIN_MILLIS, leftMillis / MARGIN_PART);
+                mExchange.deadlineMillis()
+                        - Math.min(
+                                MAX_DEADLINE_MARGIN_MILLIS, leftMillis / DEADLINE_MARGIN_DIVISOR);
         mAttempt =
-                sighting.newAttempt(mContext.ids().next(), mContext.ticker().millis(), untilMillis);
-        awaitWord(firstWordMillis());
-        mUpstream = UpstreamExchange.send(hopRequest(leftMillis), this);
+                sighting.newAttempt(
+                        mContext.attemptIds().next(), mContext.ticker().millis(), untilMillis);
+        startTimeout(acknowledgementTimeoutMillis());
+        mUpstream = UpstreamExchange.send(newHopRequest(leftMillis), this);
     }
 
-    private Request hopRequest(long leftMillis) {
+    private Request newHopRequest(long leftMillis) {
         org.eclipse.jetty.server.Request from = mExchange.request();
         Request to =
                 mContext.guards()
@@ -114,121 +118,126 @@
         to.headers(
                 headers -> {
                     ForwardedHeaders.copyRequest(from.getHeaders(), headers);
-                    mExchange.asked().requester().hideCredentials(headers);
+                    mExchange.callerRequest().requester().removeCredentials(headers);
                     headers.put(Attempt.HEADER, mAttempt.toString());
                     headers.put(HeaderNames.TARGET, mCandidate.target().id());
-                    headers.put(HeaderNames.MEMBER, mExchange.asked().memberId());
+                    headers.put(HeaderNames.MEMBER, mExchange.callerRequest().memberId());
                     headers.put(HeaderNames.TIMEOUT_MILLIS, leftMillis);
                     headers.put(HeaderNames.PRIORITY, priority());
                     headers.put(
                             HeaderNames.CAUTION,
-                            mExchange.caution().name().toLowerCase(Locale.ROOT));
+                            mExchange.riskTolerance().name().toLowerCase(Locale.ROOT));
                     mCandidate
                             .load()
                             .startLimit()
                             .ifPresent(
                                     limit -> headers.put(HeaderNames.TARGET_LIMIT, limit.toText()));
-                    addPatience(headers);
-                    addRepeat(headers);
+                    addQueueingHeaders(headers);
+                    addRetryHeaders(headers);
                     mContext.dialect().markOrigin(headers);
-                    mAskedMillis = mContext.observer().beforeHop(headers);
+                    mHopStartMillis = mContext.observer().addHopHeaders(headers);
                 });
         to.body(mExchange.body().open());
         return to;
     }
 
-    private void addRepeat(HttpFields.Mutable headers) {
+    private void addRetryHeaders(HttpFields.Mutable headers) {
         boolean parentRepeats =
-                mExchange.parentId().filter(mContext.observer()::isRepeat).isPresent();
+                mExchange.parentId().filter(mContext.observer()::isRetry).isPresent();
         if (mExchange.parentId().isPresent()) {
             headers.put(HeaderNames.CALL, "1");
         }
-        if (mExchange.isRepeat()) {
+        if (mExchange.isRetry()) {
             headers.put(
                     HeaderNames.REPEAT,
-                    mExchange.isPaid() ? HeaderNames.REPEAT_PAID : HeaderNames.REPEAT_OWN);
+                    mExchange.isRetryPaid() ? HeaderNames.REPEAT_PAID : HeaderNames.REPEAT_OWN);
         } else if (parentRepeats) {
             headers.put(HeaderNames.REPEAT, HeaderNames.REPEAT_PARENT);
         }
     }
 
-    private void addPatience(HttpFields.Mutable headers) {
-        QueueingPolicy patience = mExchange.patience();
+    private void addQueueingHeaders(HttpFields.Mutable headers) {
+        QueueingPolicy patience = mExchange.queueingPolicy();
         if (patience != QueueingPolicy.MAY_WAIT) {
             headers.put(HeaderNames.PATIENCE, patience.name().toLowerCase(Locale.ROOT));
         }
-        headers.put(HeaderNames.USEFUL_MILLIS, Math.max(0, mExchange.usefulMillis()));
+        headers.put(
+                HeaderNames.USEFUL_MILLIS, Math.max(0, mExchange.softDeadlineRemainingMillis()));
     }
 
     private String priority() {
-        return mExchange.asked().priority().name().toLowerCase(Locale.ROOT);
+        return mExchange.callerRequest().priority().name().toLowerCase(Locale.ROOT);
     }
 
-    private long firstWordMillis() {
-        return SilencePolicy.DEFAULT.firstWordMillis(mContext.lag().lagMillis());
+    private long acknowledgementTimeoutMillis() {
+        return GuardTimeoutPolicy.DEFAULT.acknowledgementTimeoutMillis(
+                mContext.lagMeter().lagMillis());
     }
 
-    private void awaitWord(long millis) {
-        cancelSilence();
-        mSilence = mContext.scheduler().schedule(this::silent, millis, TimeUnit.MILLISECONDS);
+    private void startTimeout(long millis) {
+        cancelTimeout();
+        mTimeoutTask =
+                mContext.scheduler().schedule(this::onTimeout, millis, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public boolean onBegin() {
-        mGivenUp = !mExchange.mayBegin(this);
-        return !mGivenUp;
+        mWithheld = !mExchange.tryBegin(this);
+        return !mWithheld;
     }
 
     @Override
     public void onAcknowledged(HttpFields fields) {
-        mHeard = true;
+        mAcknowledged = true;
         mContext.guards().sighted(mCandidate.guard(), fields);
-        mContext.observer().guardAcknowledged(fields, mAskedMillis);
-        if (!mAccount.isOver()) {
-            awaitWord(SilencePolicy.DEFAULT.silenceMillis(mContext.lag().lagMillis()));
+        mContext.observer().onGuardAcknowledged(fields, mHopStartMillis);
+        if (!mTracker.isEnded()) {
+            startTimeout(
+                    GuardTimeoutPolicy.DEFAULT.heartbeatTimeoutMillis(
+                            mContext.lagMeter().lagMillis()));
         }
     }
 
     @Override
     public void onAnswer(Response answer, Content.Source body) {
-        cancelSilence();
+        cancelTimeout();
         HttpFields headers = answer.getHeaders();
         mContext.guards().sighted(mCandidate.guard(), headers);
-        mContext.observer().guardAnswered(mCandidate.target(), headers);
+        mContext.observer().onGuardAnswered(mCandidate.target(), headers);
         reportLoad(headers);
         if (headers.contains(HeaderNames.TARGET_LEAVING)) {
-            mContext.observer().targetLeaving(mCandidate.target());
+            mContext.observer().onTargetLeaving(mCandidate.target());
         }
         if (headers.contains(HeaderNames.RETRY_PAID)) {
-            mExchange.paid(this);
+            mExchange.onRetryPaid(this);
         }
         Optional<Outcome> outcome = Outcomes.read(headers);
         if (outcome.isPresent()) {
-            over();
+            end();
             Bodies.discard(body);
-            mAccount.observed(ObservedOutcome.CANCELLED);
+            mTracker.recordOutcome(ObservedOutcome.CANCELLED);
             if (outcome.get() instanceof Outcome.NotRun notRun
                     && notRun.reason() == NotRunReason.LEAVING) {
                 // It stops, and its port closes in a moment.
                 mContext.guards().connectFailed(mCandidate.guard());
             }
-            mExchange.attemptEnded(this, outcome.get());
+            mExchange.onAttemptEnded(this, outcome.get());
             return;
         }
         // An answer to another attempt on a mixed-up connection must never reach this caller.
         if (!mAttempt.toString().equals(headers.get(Attempt.HEADER))) {
-            over();
+            end();
             body.fail(new IllegalStateException("answer to another attempt"));
-            mContext.metrics().mismatched().inc();
-            mAccount.observed(ObservedOutcome.PATH_FAULT);
-            mExchange.attemptEnded(this, new Outcome.Unknown(UnknownReason.ANSWER_LOST));
+            mContext.metrics().mismatchedAnswers().inc();
+            mTracker.recordOutcome(ObservedOutcome.PATH_FAULT);
+            mExchange.onAttemptEnded(this, new Outcome.Unknown(UnknownReason.ANSWER_LOST));
             return;
         }
-        mAccount.observed(
+        mTracker.recordOutcome(
                 headers.contains(HeaderNames.CALL_LOST)
                         ? ObservedOutcome.CANCELLED
-                        : AttemptAccount.outcomeOf(answer.getStatus()));
-        mExchange.answered(this, answer, body);
+                        : AttemptTracker.outcomeOf(answer.getStatus()));
+        mExchange.onAnswer(this, answer, body);
     }
 
     private void reportLoad(HttpFields headers) {
@@ -245,19 +254,19 @@
 
     @Override
     public void onFailure(UpstreamExchange.Failure failure) {
-        cancelSilence();
-        if (mGivenUp) {
-            over();
+        cancelTimeout();
+        if (mWithheld) {
+            end();
             return;
         }
         if (failure.progress() == UpstreamExchange.Progress.NOT_SENT) {
-            unreachable();
+            onGuardUnreachable();
             return;
         }
         fence(false);
     }
 
-    private void silent() {
+    private void onTimeout() {
         mContext.metrics().pathFaults().inc();
         mContext.guards().wentSilent(mCandidate.guard());
         fence(true);
@@ -269,8 +278,8 @@
         if (!mFencing.compareAndSet(false, true)) {
             return;
         }
-        if (mExchange.asked().repeatable()) {
-            goElsewhere(connectionOpen);
+        if (mExchange.callerRequest().idempotent()) {
+            abandonWithoutFence(connectionOpen);
             return;
         }
         mContext.metrics().fences().inc();
@@ -278,70 +287,74 @@
                 .fence(
                         mCandidate.guard(),
                         mAttempt,
-                        FENCE_MILLIS + firstWordMillis() - SilencePolicy.DEFAULT.firstWordMillis(0))
-                .whenComplete((answer, failure) -> fenced(answer, connectionOpen));
+                        FENCE_TIMEOUT_MILLIS
+                                + acknowledgementTimeoutMillis()
+                                - GuardTimeoutPolicy.DEFAULT.acknowledgementTimeoutMillis(0))
+                .whenComplete((answer, failure) -> onFenceEnded(answer, connectionOpen));
     }
 
     /** Leaves the guard to itself: what may repeat need not wait for its word. */
-    private void goElsewhere(boolean connectionOpen) {
-        over();
-        distrust();
-        mAccount.observed(ObservedOutcome.PATH_FAULT);
+    private void abandonWithoutFence(boolean connectionOpen) {
+        end();
+        recordPathFailure();
+        mTracker.recordOutcome(ObservedOutcome.PATH_FAULT);
         if (connectionOpen) {
-            AttemptAccount.abort(mUpstream);
+            AttemptTracker.abort(mUpstream);
         }
-        mContext.guards().abandon(mCandidate.guard(), mAttempt, FENCE_MILLIS);
-        mExchange.attemptEnded(this, new Outcome.Unknown(UnknownReason.GUARD_UNREACHABLE));
+        mContext.guards().abandon(mCandidate.guard(), mAttempt, FENCE_TIMEOUT_MILLIS);
+        mExchange.onAttemptEnded(this, new Outcome.Unknown(UnknownReason.GUARD_UNREACHABLE));
     }
 
     // Whatever is wrong on the way counts, for some seconds, as if the target were sick: requests
     // of
     // this entry that must not repeat would meet the same silence.
-    private void distrust() {
-        mCandidate.load().recordFailure(DISTRUSTED, mContext.ticker().millis());
+    private void recordPathFailure() {
+        mCandidate.load().recordFailure(PROBABILITY_AFTER_FAILURE, mContext.ticker().millis());
     }
 
-    private void fenced(FenceAnswer answer, boolean connectionOpen) {
-        distrust();
-        mContext.observer().fenced(mCandidate.target(), mAttempt.id().toString(), answer);
+    private void onFenceEnded(FenceAnswer answer, boolean connectionOpen) {
+        recordPathFailure();
+        mContext.observer().onFenceEnded(mCandidate.target(), mAttempt.id().toString(), answer);
         boolean started = answer != null && answer.state() == FenceAnswer.State.STARTED;
         if (started && connectionOpen) {
             // It runs, and must not run twice: the answer may still come over the old connection.
             mFencing.set(false);
             return;
         }
-        over();
-        mAccount.observed(answer == null ? ObservedOutcome.PATH_FAULT : ObservedOutcome.CANCELLED);
+        end();
+        mTracker.recordOutcome(
+                answer == null ? ObservedOutcome.PATH_FAULT : ObservedOutcome.CANCELLED);
         Outcome outcome =
                 answer == null
                         ? new Outcome.Unknown(UnknownReason.GUARD_UNREACHABLE)
                         : answer.toOutcome();
         if (connectionOpen) {
-            AttemptAccount.abort(mUpstream);
+            AttemptTracker.abort(mUpstream);
         }
-        mExchange.attemptEnded(this, outcome);
+        mExchange.onAttemptEnded(this, outcome);
     }
 
     @Override
     public void abandon() {
-        cancelSilence();
-        over();
-        mAccount.observed(mHeard ? ObservedOutcome.TIMEOUT : ObservedOutcome.PATH_FAULT);
+        cancelTimeout();
+        end();
+        mTracker.recordOutcome(
+                mAcknowledged ? ObservedOutcome.TIMEOUT : ObservedOutcome.PATH_FAULT);
         Attempt attempt = mAttempt;
         if (attempt != null) {
-            mContext.guards().abandon(mCandidate.guard(), attempt, FENCE_MILLIS);
+            mContext.guards().abandon(mCandidate.guard(), attempt, FENCE_TIMEOUT_MILLIS);
         }
-        AttemptAccount.abort(mUpstream);
+        AttemptTracker.abort(mUpstream);
     }
 
     @Override
-    public void over() {
-        cancelSilence();
-        mAccount.over();
+    public void end() {
+        cancelTimeout();
+        mTracker.end();
     }
 
-    private void cancelSilence() {
-        Scheduler.Task silence = mSilence;
+    private void cancelTimeout() {
+        Scheduler.Task silence = mTimeoutTask;
         if (silence != null) {
             silence.cancel();
         }
--- a/src/main/java/org/apricotgauge/caller/KeyHomes.java
+++ b/src/main/java/org/apricotgauge/caller/KeyOwners.java
@@ -17,18 +17,18 @@
  * know what the old one ran; it must refuse such keys until what the old one knew has expired.
  * Thread-safe.
  */
-final class KeyHomes {
+final class KeyOwners {
     private final long mRetentionMillis;
-    private final ConcurrentMap<String, History> mHistories = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, TargetSetHistory> mHistories = new ConcurrentHashMap<>();
 
     /** Targets of a service from a time on; the newest first. */
-    private static final class History {
-        private final Deque<Era> mEras = new ArrayDeque<>();
+    private static final class TargetSetHistory {
+        private final Deque<TargetSet> mTargetSets = new ArrayDeque<>();
     }
 
-    private record Era(long sinceMillis, List<String> targetIds) {}
+    private record TargetSet(long sinceMillis, List<String> targetIds) {}
 
-    KeyHomes(long retentionMillis) {
+    KeyOwners(long retentionMillis) {
         mRetentionMillis = retentionMillis;
     }
 
@@ -42,14 +42,15 @@
      *
      * @return a time in milliseconds, or {@link Long#MIN_VALUE} if no other home is remembered
      */
-    long homeSinceMillis(IdempotencyKey key, ServiceTable table, long nowMillis) {
-        History history = mHistories.computeIfAbsent(table.service().id(), id -> new History());
+    long ownerSinceMillis(IdempotencyKey key, ServiceTable table, long nowMillis) {
+        TargetSetHistory history =
+                mHistories.computeIfAbsent(table.service().id(), id -> new TargetSetHistory());
         List<String> present = targetIds(table);
         synchronized (history) {
-            note(history.mEras, present, nowMillis);
+            recordTargetSet(history.mTargetSets, present, nowMillis);
             String home = KeyOwner.of(key, present);
             long sinceMillis = Long.MIN_VALUE;
-            for (Era era : history.mEras) {
+            for (TargetSet era : history.mTargetSets) {
                 if (!era.targetIds().isEmpty() && !KeyOwner.of(key, era.targetIds()).equals(home)) {
                     return sinceMillis;
                 }
@@ -59,15 +60,15 @@
         }
     }
 
-    private void note(Deque<Era> eras, List<String> present, long nowMillis) {
+    private void recordTargetSet(Deque<TargetSet> eras, List<String> present, long nowMillis) {
         if (eras.isEmpty() || !eras.getFirst().targetIds().equals(present)) {
-            eras.addFirst(new Era(nowMillis, present));
+            eras.addFirst(new TargetSet(nowMillis, present));
         }
         // An era matters for as long as the one after it is younger than the retention.
-        Iterator<Era> oldest = eras.descendingIterator();
-        Era last = oldest.next();
+        Iterator<TargetSet> oldest = eras.descendingIterator();
+        TargetSet last = oldest.next();
         while (oldest.hasNext()) {
-            Era after = oldest.next();
+            TargetSet after = oldest.next();
             if (nowMillis - after.sinceMillis() <= mRetentionMillis) {
                 return;
             }
--- a/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
@@ -31,102 +31,106 @@
 final class KeyedAttempt implements TargetAttempt, UpstreamExchange.Listener {
     private final CallerExchange mExchange;
     private final EntryContext mContext;
-    private final Address mHome;
+    private final Address mOwner;
     private final IdempotencyKey mKey;
     private volatile UpstreamExchange mUpstream;
-    private volatile Scheduler.Task mSilence;
+    private volatile Scheduler.Task mTimeoutTask;
 
     KeyedAttempt(CallerExchange exchange, Candidate home, IdempotencyKey key) {
         mExchange = exchange;
         mContext = exchange.context();
-        mHome = home.guard();
+        mOwner = home.guard();
         mKey = key;
     }
 
     @Override
     public void send() {
-        long waitMillis = Math.max(1, Math.min(firstWordMillis(), mExchange.leftMillis()));
+        long waitMillis =
+                Math.max(1, Math.min(acknowledgementTimeoutMillis(), mExchange.remainingMillis()));
         mContext.guards()
-                .sighting(mHome, waitMillis)
+                .sighting(mOwner, waitMillis)
                 .whenComplete(
                         (sighting, failure) -> {
                             if (failure == null) {
                                 sendTo(sighting);
                             } else {
-                                mExchange.attemptEnded(
+                                mExchange.onAttemptEnded(
                                         this, new Outcome.NotRun(NotRunReason.NEVER_SENT, 0));
                             }
                         });
     }
 
     private void sendTo(GuardClockEstimate sighting) {
-        Attempt attempt = mExchange.addressAtHome(sighting, mExchange.deadlineMillis());
-        long leftMillis = Math.max(1, mExchange.leftMillis());
+        Attempt attempt = mExchange.newOwnerAttempt(sighting, mExchange.deadlineMillis());
+        long leftMillis = Math.max(1, mExchange.remainingMillis());
         org.eclipse.jetty.server.Request from = mExchange.request();
         Request to =
                 mContext.guards()
-                        .newRequest(mHome)
+                        .newRequest(mOwner)
                         .method(from.getMethod())
                         .path(from.getHttpURI().getPathQuery());
         to.headers(
                 headers -> {
                     ForwardedHeaders.copyRequest(from.getHeaders(), headers);
-                    mExchange.asked().requester().hideCredentials(headers);
+                    mExchange.callerRequest().requester().removeCredentials(headers);
                     headers.put(HeaderNames.CONTROL, GuardHandler.CONTROL_KEYED);
                     headers.put(Attempt.HEADER, attempt.toString());
                     headers.put(HeaderNames.MEMBER, mKey.member());
                     headers.put(HeaderNames.TIMEOUT_MILLIS, leftMillis);
                 });
         to.body(mExchange.body().open());
-        awaitWord(firstWordMillis());
+        startTimeout(acknowledgementTimeoutMillis());
         mUpstream = UpstreamExchange.send(to, this);
     }
 
-    private long firstWordMillis() {
-        return SilencePolicy.DEFAULT.firstWordMillis(mContext.lag().lagMillis());
+    private long acknowledgementTimeoutMillis() {
+        return GuardTimeoutPolicy.DEFAULT.acknowledgementTimeoutMillis(
+                mContext.lagMeter().lagMillis());
     }
 
-    private void awaitWord(long millis) {
-        cancelSilence();
-        mSilence = mContext.scheduler().schedule(this::silent, millis, TimeUnit.MILLISECONDS);
+    private void startTimeout(long millis) {
+        cancelTimeout();
+        mTimeoutTask =
+                mContext.scheduler().schedule(this::onTimeout, millis, TimeUnit.MILLISECONDS);
     }
 
-    private void silent() {
+    private void onTimeout() {
         mContext.metrics().pathFaults().inc();
-        mContext.guards().wentSilent(mHome);
-        AttemptAccount.abort(mUpstream);
-        mExchange.attemptEnded(this, new Outcome.Unknown(UnknownReason.GUARD_UNREACHABLE));
+        mContext.guards().wentSilent(mOwner);
+        AttemptTracker.abort(mUpstream);
+        mExchange.onAttemptEnded(this, new Outcome.Unknown(UnknownReason.GUARD_UNREACHABLE));
     }
 
     @Override
     public boolean onBegin() {
-        return mExchange.mayBegin(this);
+        return mExchange.tryBegin(this);
     }
 
     @Override
     public void onAcknowledged(HttpFields fields) {
-        mContext.guards().sighted(mHome, fields);
-        awaitWord(SilencePolicy.DEFAULT.silenceMillis(mContext.lag().lagMillis()));
+        mContext.guards().sighted(mOwner, fields);
+        startTimeout(
+                GuardTimeoutPolicy.DEFAULT.heartbeatTimeoutMillis(mContext.lagMeter().lagMillis()));
     }
 
     @Override
     public void onAnswer(Response answer, Content.Source body) {
-        cancelSilence();
-        mContext.guards().sighted(mHome, answer.getHeaders());
+        cancelTimeout();
+        mContext.guards().sighted(mOwner, answer.getHeaders());
         Optional<Outcome> outcome = Outcomes.read(answer.getHeaders());
         if (outcome.isPresent()) {
             body.fail(new IllegalStateException("an outcome has no body of interest"));
-            mExchange.attemptEnded(this, outcome.get());
+            mExchange.onAttemptEnded(this, outcome.get());
             return;
         }
-        mExchange.answered(this, answer, body);
+        mExchange.onAnswer(this, answer, body);
     }
 
     @Override
     public void onFailure(UpstreamExchange.Failure failure) {
-        cancelSilence();
+        cancelTimeout();
         boolean notSent = failure.progress() == UpstreamExchange.Progress.NOT_SENT;
-        mExchange.attemptEnded(
+        mExchange.onAttemptEnded(
                 this,
                 notSent
                         ? new Outcome.NotRun(NotRunReason.NEVER_SENT, 0)
@@ -135,17 +139,17 @@
 
     @Override
     public void abandon() {
-        cancelSilence();
-        AttemptAccount.abort(mUpstream);
+        cancelTimeout();
+        AttemptTracker.abort(mUpstream);
     }
 
     @Override
-    public void over() {
-        cancelSilence();
+    public void end() {
+        cancelTimeout();
     }
 
-    private void cancelSilence() {
-        Scheduler.Task silence = mSilence;
+    private void cancelTimeout() {
+        Scheduler.Task silence = mTimeoutTask;
         if (silence != null) {
             silence.cancel();
         }
--- a/src/main/java/org/apricotgauge/caller/KeyedRequests.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedRequestHandler.java
@@ -25,14 +25,14 @@
  * <p>The home remembers; any healthy target may run the request. What that promises across restarts
  * and partitions is written in docs/design/at-most-once.md.
  */
-final class KeyedRequests {
-    private static final int KEPT_BODY_BYTES = 16_384;
+final class KeyedRequestHandler {
+    private static final int MAX_STORED_BODY_BYTES = 16_384;
     private static final int RETRY_AFTER_SECONDS = 1;
 
     private final EntryContext mContext;
-    private final KeyLimits.NewOwnerPolicy mNewHomePolicy;
+    private final KeyLimits.NewOwnerPolicy mNewOwnerPolicy;
     private final IdempotencyLedger mLedger;
-    private final KeyHomes mHomes;
+    private final KeyOwners mOwners;
 
     /** Runs a request that may run, and writes what becomes of it. */
     @FunctionalInterface
@@ -41,11 +41,11 @@
         void run(Response response, Callback callback);
     }
 
-    KeyedRequests(EntryContext context, KeyLimits limits) {
+    KeyedRequestHandler(EntryContext context, KeyLimits limits) {
         mContext = context;
-        mNewHomePolicy = limits.newOwnerPolicy();
+        mNewOwnerPolicy = limits.newOwnerPolicy();
         mLedger = new IdempotencyLedger(limits, context.ticker().millis());
-        mHomes = new KeyHomes(limits.retentionMillis());
+        mOwners = new KeyOwners(limits.retentionMillis());
     }
 
     /**
@@ -66,14 +66,14 @@
             Callback callback,
             Runner runner) {
         long nowMillis = mContext.ticker().millis();
-        long sinceMillis = mHomes.homeSinceMillis(key, table, nowMillis);
+        long sinceMillis = mOwners.ownerSinceMillis(key, table, nowMillis);
         KeyDecision verdict =
                 mLedger.begin(
                         key,
                         fingerprint(request),
                         sinceMillis,
                         nowMillis,
-                        predecessors ? KeyLimits.NewOwnerPolicy.RUN : mNewHomePolicy);
+                        predecessors ? KeyLimits.NewOwnerPolicy.RUN : mNewOwnerPolicy);
         if (verdict instanceof KeyDecision.Execute) {
             run(key, request, response, callback, runner);
         } else if (verdict instanceof KeyDecision.Replay done) {
@@ -89,13 +89,14 @@
             Response response,
             Callback callback,
             Runner runner) {
-        AnswerKeeper keeper =
-                new AnswerKeeper(request, response, KEPT_BODY_BYTES, mContext.scheduler());
+        CapturingResponse keeper =
+                new CapturingResponse(
+                        request, response, MAX_STORED_BODY_BYTES, mContext.scheduler());
         Callback ended =
                 Callback.from(
                         () -> {
                             keeper.stopHeartbeat();
-                            ended(key, keeper);
+                            recordOutcome(key, keeper);
                             callback.succeeded();
                         },
                         cause -> {
@@ -103,14 +104,14 @@
                             mLedger.outcomeUnknown(key, mContext.ticker().millis());
                             callback.failed(cause);
                         });
-        keeper.acknowledge().whenComplete((written, failure) -> runner.run(keeper, ended));
+        keeper.sendHeartbeat().whenComplete((written, failure) -> runner.run(keeper, ended));
     }
 
-    private void ended(IdempotencyKey key, AnswerKeeper keeper) {
+    private void recordOutcome(IdempotencyKey key, CapturingResponse keeper) {
         String outcome = keeper.getHeaders().get(HeaderNames.OUTCOME);
         long nowMillis = mContext.ticker().millis();
         if (outcome == null) {
-            mLedger.completed(key, keeper.answer(), nowMillis);
+            mLedger.completed(key, keeper.storedAnswer(), nowMillis);
         } else if (HeaderNames.OUTCOME_NOT_RUN.equals(outcome)) {
             mLedger.notRun(key);
         } else {
@@ -130,7 +131,8 @@
 
     private static void replay(StoredAnswer answer, Response response, Callback callback) {
         if (!answer.isComplete()) {
-            conflict(response, callback, "this key was answered before; the answer is not kept");
+            writeConflict(
+                    response, callback, "this key was answered before; the answer is not kept");
             return;
         }
         response.setStatus(answer.status());
@@ -143,7 +145,7 @@
     private static void refuse(KeyDecision verdict, Response response, Callback callback) {
         if (verdict instanceof KeyDecision.InProgress) {
             response.getHeaders().put(HttpHeader.RETRY_AFTER, RETRY_AFTER_SECONDS);
-            conflict(response, callback, "this key is running now");
+            writeConflict(response, callback, "this key is running now");
         } else if (verdict instanceof KeyDecision.Conflict) {
             Bodies.writeText(
                     response,
@@ -166,7 +168,7 @@
         }
     }
 
-    private static void conflict(Response response, Callback callback, String reason) {
+    private static void writeConflict(Response response, Callback callback, String reason) {
         Bodies.writeText(response, callback, HttpStatus.CONFLICT_409, reason + '\n');
     }
 }
--- a/src/main/java/org/apricotgauge/caller/LagMeter.java
+++ b/src/main/java/org/apricotgauge/caller/LagMeter.java
@@ -11,7 +11,7 @@
  */
 final class LagMeter {
     private static final long PERIOD_MILLIS = 100;
-    private static final double KEEP = 0.932;
+    private static final double DECAY_PER_PERIOD = 0.932;
 
     private final Scheduler mScheduler;
     private final Ticker mTicker;
@@ -34,7 +34,7 @@
 
     private void tick() {
         long lateMillis = Math.max(0, mTicker.millis() - mDueMillis);
-        mLagMillis = Math.max(lateMillis, mLagMillis * KEEP);
+        mLagMillis = Math.max(lateMillis, mLagMillis * DECAY_PER_PERIOD);
         start();
     }
 }
--- a/src/main/java/org/apricotgauge/caller/MemberLimits.java
+++ b/src/main/java/org/apricotgauge/caller/MemberRateLimiter.java
@@ -6,9 +6,9 @@
 
 /** Tells whether a request may run by its member's limit, which holds over all nodes together. */
 @FunctionalInterface
-public interface MemberLimits {
+public interface MemberRateLimiter {
     /** Lets everything run. */
-    MemberLimits UNBOUNDED = (member, request) -> request.accept(RateLimitDecision.GRANTED);
+    MemberRateLimiter UNBOUNDED = (member, request) -> request.accept(RateLimitDecision.GRANTED);
 
     /**
      * Takes one of the member's tokens.
@@ -16,5 +16,5 @@
      * @param member a member that has a limit
      * @param request hears the verdict once, perhaps before this returns, never under a lock
      */
-    void take(Member member, Consumer<RateLimitDecision> request);
+    void acquire(Member member, Consumer<RateLimitDecision> request);
 }
--- a/src/main/java/org/apricotgauge/caller/CallParent.java
+++ b/src/main/java/org/apricotgauge/caller/NestedCallPolicy.java
@@ -12,16 +12,17 @@
  * claim that, so it counts only if the request that it names is at work beside this node: a target
  * sends its calls to the node of its own VM.
  */
-final class CallParent {
+final class NestedCallPolicy {
 
-    private CallParent() {}
+    private NestedCallPolicy() {}
 
     /**
      * Returns the id of the request that the call is made for; nothing for a caller's request.
      *
      * @param atWork whether a request, by its id, is at work at a target of this VM
      */
-    static Optional<String> of(SiteDialect dialect, HttpFields headers, Predicate<String> atWork) {
+    static Optional<String> parentId(
+            SiteDialect dialect, HttpFields headers, Predicate<String> atWork) {
         return dialect.parentId(headers).filter(atWork);
     }
 }
--- a/src/main/java/org/apricotgauge/caller/PredecessorAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/PredecessorAttempt.java
@@ -29,7 +29,7 @@
         Request to =
                 mExchange
                         .context()
-                        .direct()
+                        .directClient()
                         .newRequest(mPredecessor.host(), mPredecessor.port())
                         .method(from.getMethod())
                         .path(from.getHttpURI().getPathQuery());
@@ -40,24 +40,25 @@
 
     @Override
     public boolean onBegin() {
-        return mExchange.mayBegin(this);
+        return mExchange.tryBegin(this);
     }
 
     @Override
     public void onAnswer(Response answer, Content.Source body) {
-        mExchange.answered(this, answer, body);
+        mExchange.onAnswer(this, answer, body);
     }
 
     @Override
     public void onFailure(UpstreamExchange.Failure failure) {
-        mExchange.predecessorFailed(this, failure.progress() == UpstreamExchange.Progress.NOT_SENT);
+        mExchange.onPredecessorFailed(
+                this, failure.progress() == UpstreamExchange.Progress.NOT_SENT);
     }
 
     @Override
     public void abandon() {
-        AttemptAccount.abort(mUpstream);
+        AttemptTracker.abort(mUpstream);
     }
 
     @Override
-    public void over() {}
+    public void end() {}
 }
--- a/src/main/java/org/apricotgauge/caller/PredecessorShare.java
+++ b/src/main/java/org/apricotgauge/caller/PredecessorShare.java
@@ -26,6 +26,6 @@
                                                 asked.memberId(),
                                                 Request.getServerName(request),
                                                 request.getHttpURI().getPathQuery()));
-        return !SharePolicy.isFleets(bucket, service.fleetSharePercent());
+        return !SharePolicy.isServedByFleet(bucket, service.fleetSharePercent());
     }
 }
--- a/src/main/java/org/apricotgauge/caller/ProbeSource.java
+++ b/src/main/java/org/apricotgauge/caller/ProbeSource.java
@@ -7,5 +7,5 @@
 public interface ProbeSource {
 
     /** Takes the right to try a target of the service; each right is given once. */
-    Optional<String> take(String service);
+    Optional<String> tryAcquire(String service);
 }
--- a/src/main/java/org/apricotgauge/caller/QuarantineCheck.java
+++ b/src/main/java/org/apricotgauge/caller/QuarantineCheck.java
@@ -20,10 +20,10 @@
  */
 final class QuarantineCheck {
     private final QuarantineTable mTable;
-    private final LongSupplier mReadHead;
-    private final ReplayableBody mContent;
-    private volatile BodyHash mBody = new BodyHash();
-    private Long mHead;
+    private final LongSupplier mHeadHasher;
+    private final ReplayableBody mReplayableBody;
+    private volatile BodyHash mBodyHash = new BodyHash();
+    private Long mHeadHash;
 
     /**
      * Creates the check of one request.
@@ -35,50 +35,50 @@
     QuarantineCheck(
             QuarantineTable table, LongSupplier readHead, boolean hasBody, ReplayableBody content) {
         mTable = table;
-        mReadHead = readHead;
-        mContent = content;
+        mHeadHasher = readHead;
+        mReplayableBody = content;
         if (!hasBody) {
-            mBody.end();
+            mBodyHash.end();
         }
     }
 
     /** Goes on once the request can be told from those held with the same head, if any are. */
     void whenIdentified(Runnable next) {
-        if (mBody.isComplete()
+        if (mBodyHash.isComplete()
                 || mTable.quarantinedCount() == 0
-                || !mTable.isQuarantinedHead(head())) {
+                || !mTable.isQuarantinedHead(headHash())) {
             next.run();
             return;
         }
         // A body that breaks off meanwhile fails the attempt that reads it next.
-        mContent.readAhead(mBody).whenComplete((read, failure) -> next.run());
+        mReplayableBody.readAhead(mBodyHash).whenComplete((read, failure) -> next.run());
     }
 
     /** Returns how long the request is still kept from targets, in milliseconds; 0 if it is not. */
-    long heldMillis() {
+    long remainingQuarantineMillis() {
         return mTable.quarantinedCount() == 0 ? 0 : mTable.remainingQuarantineMillis(fingerprint());
     }
 
     Fingerprint fingerprint() {
-        return new Fingerprint(head(), mBody.value());
+        return new Fingerprint(headHash(), mBodyHash.value());
     }
 
     /** Returns the request's body for an attempt past the guards, which tells its fingerprint. */
     Request.Content hashedBody() {
-        Request.Content body = mContent.open();
-        if (mBody.isComplete()) {
+        Request.Content body = mReplayableBody.open();
+        if (mBodyHash.isComplete()) {
             return body;
         }
         // What an attempt before had hashed of the body is sent and hashed again.
         BodyHash hash = new BodyHash();
-        mBody = hash;
+        mBodyHash = hash;
         return new HashedBody(body, hash);
     }
 
-    private synchronized long head() {
-        if (mHead == null) {
-            mHead = mReadHead.getAsLong();
+    private synchronized long headHash() {
+        if (mHeadHash == null) {
+            mHeadHash = mHeadHasher.getAsLong();
         }
-        return mHead;
+        return mHeadHash;
     }
 }
--- a/src/main/java/org/apricotgauge/caller/DecisionLog.java
+++ b/src/main/java/org/apricotgauge/caller/RequestLog.java
@@ -19,15 +19,15 @@
  * at the node that is named. At most {@link #LINES_PER_SECOND} are written; the next line tells how
  * many were left out. Thread-safe.
  */
-final class DecisionLog {
+final class RequestLog {
     /** Lines of one node in a second: about 10 KB, whatever the load. */
     static final int LINES_PER_SECOND = 40;
 
     /** One in so many requests that ended well leaves a line. */
-    static final int SAMPLE = 16;
+    static final int SAMPLE_INTERVAL = 16;
 
     private final BoundedLog mLog;
-    private final AtomicLong mWell = new AtomicLong();
+    private final AtomicLong mSuccessCount = new AtomicLong();
 
     /**
      * How a request ended.
@@ -41,7 +41,7 @@
      * @param version version of the configuration that it was routed by
      * @param origin address of the caller
      */
-    record Ended(
+    record EndedRequest(
             String id,
             String route,
             String service,
@@ -51,29 +51,31 @@
             long version,
             String origin) {}
 
-    private record Line(Ended request, long leftOut) {}
+    private record EndedRequestLine(EndedRequest request, long leftOut) {}
 
     /** A request that was not let in; its key, right or wrong, is never written. */
-    private record Denied(
+    private record DeniedRequestLine(
             String id, String route, Access.Reason reason, String origin, long leftOut) {}
 
-    DecisionLog(Ticker ticker) {
+    RequestLog(Ticker ticker) {
         mLog =
                 new BoundedLog(
                         Logger.getLogger("org.apricotgauge.requests"), ticker, LINES_PER_SECOND);
     }
 
     /** Returns whether a request that ended well is in the sample. */
-    boolean samples() {
-        return mWell.getAndIncrement() % SAMPLE == 0;
+    boolean shouldSample() {
+        return mSuccessCount.getAndIncrement() % SAMPLE_INTERVAL == 0;
     }
 
     /** Tells of a request that was refused for what it brought to show whom it comes from. */
-    void denied(String id, String route, Access.Reason reason, String origin) {
-        mLog.info("request denied", leftOut -> new Denied(id, route, reason, origin, leftOut));
+    void logDenied(String id, String route, Access.Reason reason, String origin) {
+        mLog.info(
+                "request denied",
+                leftOut -> new DeniedRequestLine(id, route, reason, origin, leftOut));
     }
 
-    void ended(Ended request) {
-        mLog.info("request ended", leftOut -> new Line(request, leftOut));
+    void logEnded(EndedRequest request) {
+        mLog.info("request ended", leftOut -> new EndedRequestLine(request, leftOut));
     }
 }
--- a/src/main/java/org/apricotgauge/caller/RequesterReader.java
+++ b/src/main/java/org/apricotgauge/caller/RequesterResolver.java
@@ -19,11 +19,11 @@
  * Optional<Requester> requester = reader.ofCaller(configuration, route, request);
  * }</pre>
  */
-final class RequesterReader {
+final class RequesterResolver {
     private final SiteDialect mDialect;
-    private final DecisionLog mLog;
+    private final RequestLog mLog;
 
-    RequesterReader(SiteDialect dialect, DecisionLog log) {
+    RequesterResolver(SiteDialect dialect, RequestLog log) {
         mDialect = dialect;
         mLog = log;
     }
@@ -33,16 +33,16 @@
      *
      * @throws IllegalArgumentException naming the header that is at fault
      */
-    Optional<Requester> ofCaller(Configuration configuration, Route route, Request request) {
+    Optional<Requester> resolveCaller(Configuration configuration, Route route, Request request) {
         HttpFields headers = request.getHeaders();
         if (!configuration.hasKeys()) {
-            return Optional.of(Requester.named(mDialect.namedMember(headers)));
+            return Optional.of(Requester.unauthenticated(mDialect.namedMember(headers)));
         }
         Access access = AccessPolicy.decide(configuration, route, BearerKey.read(headers));
         if (access instanceof Access.Granted granted) {
-            return Optional.of(Requester.proven(granted.member()));
+            return Optional.of(Requester.authenticated(granted.member()));
         }
-        mLog.denied(
+        mLog.logDenied(
                 mDialect.requestId(headers),
                 route.id(),
                 ((Access.Denied) access).reason(),
@@ -51,7 +51,8 @@
     }
 
     /** Returns the requester of a hop: another entry has let it in, perhaps by another version. */
-    static Optional<Requester> ofHop(Configuration configuration, Route route, Request request) {
+    static Optional<Requester> resolveHop(
+            Configuration configuration, Route route, Request request) {
         String id = request.getHeaders().get(HeaderNames.MEMBER);
         return Optional.of(
                 new Requester(
--- a/src/main/java/org/apricotgauge/caller/TargetAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/TargetAttempt.java
@@ -10,5 +10,5 @@
     void abandon();
 
     /** Tells it that its answer was passed on, or broke. */
-    void over();
+    void end();
 }
--- a/src/main/java/org/apricotgauge/caller/TargetChoice.java
+++ b/src/main/java/org/apricotgauge/caller/TargetSelector.java
@@ -24,24 +24,24 @@
  * likely to be sick, also to one that ran it without an answer if it may run again. Used by one
  * exchange, whose attempts follow each other; not thread-safe beyond that.
  */
-final class TargetChoice {
+final class TargetSelector {
     /**
      * Attempts that look for a free slot. With two thirds of all slots busy, three slots each, two
      * tries miss a target with a free one in 1 of 11 requests, where one try does in 1 of 3.
      */
-    static final int LOOKING_ATTEMPTS = 2;
+    static final int NO_WAIT_ATTEMPTS = 2;
 
     /** Further attempts that wait while they can be of full use; the next ones wait to the end. */
-    static final int USEFUL_ATTEMPTS = 2;
+    static final int SOFT_DEADLINE_ATTEMPTS = 2;
 
     private final EntryContext mContext;
     private final Supplier<ServiceTable> mTable;
-    private final boolean mRepeatable;
+    private final boolean mIdempotent;
     private final Set<String> mTried = new HashSet<>();
     private final Set<String> mBusy = new HashSet<>();
     private final Map<String, Candidate> mSuspects = new HashMap<>();
-    private Candidate mLast;
-    private int mRefusedBusy;
+    private Candidate mLastCandidate;
+    private int mBusyRefusals;
     private boolean mLastResort;
 
     /**
@@ -50,10 +50,10 @@
      * @param table the service as it is now: a request lives for seconds, and a target that began
      *     to leave since it came would only refuse it, one hop and some milliseconds later
      */
-    TargetChoice(EntryContext context, Supplier<ServiceTable> table, boolean repeatable) {
+    TargetSelector(EntryContext context, Supplier<ServiceTable> table, boolean repeatable) {
         mContext = context;
         mTable = table;
-        mRepeatable = repeatable;
+        mIdempotent = repeatable;
     }
 
     /** Returns whether the present attempt takes the risk of a target thought to be sick. */
@@ -62,14 +62,14 @@
     }
 
     /** Returns whether the present attempt may wait for a slot. */
-    QueueingPolicy patience() {
-        if (mContext.reach() != EntryOptions.Reach.GUARDS_ONLY || mLastResort) {
+    QueueingPolicy queueingPolicy() {
+        if (mContext.targetAccess() != EntryOptions.TargetAccess.GUARDS_ONLY || mLastResort) {
             return QueueingPolicy.MAY_WAIT;
         }
-        if (mRefusedBusy < LOOKING_ATTEMPTS) {
+        if (mBusyRefusals < NO_WAIT_ATTEMPTS) {
             return QueueingPolicy.NO_WAIT;
         }
-        boolean seeksUse = mRefusedBusy < LOOKING_ATTEMPTS + USEFUL_ATTEMPTS;
+        boolean seeksUse = mBusyRefusals < NO_WAIT_ATTEMPTS + SOFT_DEADLINE_ATTEMPTS;
         return seeksUse ? QueueingPolicy.WHILE_USEFUL : QueueingPolicy.MAY_WAIT;
     }
 
@@ -79,31 +79,31 @@
      * @param last how the attempt before ended; null before the first
      */
     Optional<Candidate> next(Outcome last) {
-        takeIn(last);
+        recordOutcome(last);
         Optional<Candidate> choice = choose(last);
-        while (choice.isPresent() && isShut(choice.get())) {
+        while (choice.isPresent() && isGuardUnreachable(choice.get())) {
             mTried.add(choice.get().target().id());
             choice = choose(last);
         }
         choice.ifPresent(candidate -> mTried.add(candidate.target().id()));
-        mLast = choice.orElse(null);
+        mLastCandidate = choice.orElse(null);
         return choice;
     }
 
-    private void takeIn(Outcome last) {
-        if (mLast == null) {
+    private void recordOutcome(Outcome last) {
+        if (mLastCandidate == null) {
             return;
         }
-        String id = mLast.target().id();
+        String id = mLastCandidate.target().id();
         if (last instanceof Outcome.NotRun notRun && notRun.reason() == NotRunReason.BUSY) {
             mBusy.add(id);
-            mRefusedBusy++;
+            mBusyRefusals++;
         }
         if (isSuspect(last)) {
-            mSuspects.put(id, mLast);
+            mSuspects.put(id, mLastCandidate);
         }
-        if (mRefusedBusy == LOOKING_ATTEMPTS
-                || mRefusedBusy == LOOKING_ATTEMPTS + USEFUL_ATTEMPTS) {
+        if (mBusyRefusals == NO_WAIT_ATTEMPTS
+                || mBusyRefusals == NO_WAIT_ATTEMPTS + SOFT_DEADLINE_ATTEMPTS) {
             // From now on it waits longer, and the targets that were busy are as good as any.
             mTried.removeAll(mBusy);
             mBusy.clear();
@@ -114,21 +114,23 @@
         if (last instanceof Outcome.NotRun notRun) {
             return notRun.reason() == NotRunReason.TARGET_SUSPECT;
         }
-        return mRepeatable && last instanceof Outcome.Unknown;
+        return mIdempotent && last instanceof Outcome.Unknown;
     }
 
     // Sent to a guard that has just refused connections, a request would use up its attempts there
     // while other targets idle.
-    private boolean isShut(Candidate candidate) {
-        return mContext.reach() == EntryOptions.Reach.GUARDS_ONLY
-                && !mContext.hasGuardUp(candidate)
+    private boolean isGuardUnreachable(Candidate candidate) {
+        return mContext.targetAccess() == EntryOptions.TargetAccess.GUARDS_ONLY
+                && !mContext.hasReachableGuard(candidate)
                 && !mTried.contains(candidate.target().id());
     }
 
     private Optional<Candidate> choose(Outcome last) {
-        if (mTried.isEmpty() && mRepeatable) {
+        if (mTried.isEmpty() && mIdempotent) {
             Optional<Candidate> probe =
-                    mContext.probes().take(mTable.get().service().id()).flatMap(this::present);
+                    mContext.probes()
+                            .tryAcquire(mTable.get().service().id())
+                            .flatMap(this::currentCandidate);
             if (probe.isPresent()) {
                 return probe;
             }
@@ -137,23 +139,23 @@
         if (untried.isPresent()) {
             return untried;
         }
-        if (mayReachAgain(last)) {
+        if (mayReachOnRetry(last)) {
             // The only targets left are those whose path failed, or whose guard had not read the
             // body in time; a new attempt may reach them.
             return balance(Set.of());
         }
-        return leastSick();
+        return leastDegraded();
     }
 
     // Where every target is suspect, refusing the request would be worse than the risk of the best.
-    private Optional<Candidate> leastSick() {
+    private Optional<Candidate> leastDegraded() {
         if (mLastResort) {
             return Optional.empty();
         }
         long nowNanos = mContext.ticker().nanos();
         Optional<Candidate> best =
                 mSuspects.values().stream()
-                        .filter(one -> present(one.target().id()).isPresent())
+                        .filter(one -> currentCandidate(one.target().id()).isPresent())
                         .min(
                                 Comparator.comparingDouble(
                                         one -> one.load().degradationProbability(nowNanos)));
@@ -161,7 +163,7 @@
         return best;
     }
 
-    private Optional<Candidate> present(String targetId) {
+    private Optional<Candidate> currentCandidate(String targetId) {
         return mTable.get().candidate(targetId);
     }
 
@@ -170,7 +172,7 @@
                 mTable.get(), except, ThreadLocalRandom.current(), mContext.ticker().nanos());
     }
 
-    private static boolean mayReachAgain(Outcome last) {
+    private static boolean mayReachOnRetry(Outcome last) {
         if (last instanceof Outcome.NotRun notRun) {
             return notRun.reason() == NotRunReason.FENCED
                     || notRun.reason() == NotRunReason.GUARD_RESTARTED
--- a/src/main/java/org/apricotgauge/node/AllotmentService.java
+++ b/src/main/java/org/apricotgauge/node/AllotmentService.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Consumer;
-import org.apricotgauge.caller.MemberLimits;
+import org.apricotgauge.caller.MemberRateLimiter;
 import org.apricotgauge.decision.ratelimit.DistributedRateLimiter;
 import org.apricotgauge.decision.ratelimit.FallbackQuota;
 import org.apricotgauge.decision.ratelimit.MemberOwners;
@@ -26,7 +26,7 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** Gives the {@link DistributedRateLimiter} its datagrams, its clock and its turns. */
-final class AllotmentService implements MemberLimits, AdminSources.AllotmentSource {
+final class AllotmentService implements MemberRateLimiter, AdminSources.AllotmentSource {
     private static final long EXPIRE_EVERY_MILLIS = 20;
 
     /** Members whose requests are counted for operators. */
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void take(Member member, Consumer<RateLimitDecision> request) {
+    public void acquire(Member member, Consumer<RateLimitDecision> request) {
         Consumer<RateLimitDecision> counted =
                 verdict -> {
                     count(member.id(), verdict);
--- a/src/main/java/org/apricotgauge/node/Node.java
+++ b/src/main/java/org/apricotgauge/node/Node.java
@@ -117,7 +117,7 @@
         mEntry = entry(observer, incarnation);
         mGuard = guard(observer, incarnation);
         HttpServerFactory servers = mHttp.servers();
-        mCallerServer = servers.create(vm.host(), vm.callerPort(), mEntry, mEntry::refused);
+        mCallerServer = servers.create(vm.host(), vm.callerPort(), mEntry, mEntry::countBadRequest);
         mCallerServer.addBean(
                 new NetworkConnectionLimit(profile.maxCallerConnections(), mCallerServer));
         mGuardServer = servers.create(vm.host(), vm.guardPort(), mGuard, () -> {});
@@ -168,7 +168,7 @@
                 mEntry::handleKeyed,
                 mProfile.entry().dialect(),
                 mProfile.entry().slotUse(),
-                mProfile.entry().guardRetries(),
+                mProfile.entry().guardRetryAllowance(),
                 mQuarantine.table(),
                 (revision, waitMillis, compressed) ->
                         mControl.published(revision, waitMillis, compressed),
@@ -296,7 +296,7 @@
     }
 
     private void openCallerPort() throws Exception {
-        mEntry.open();
+        mEntry.startBackgroundTasks();
         mCallerServer.start();
     }
 
@@ -446,7 +446,7 @@
         long untilMillis = startMillis + mProfile.drainMillis();
         awaitQuiet(Math.min(untilMillis, startMillis + mProfile.serveOnMillis()), false);
         stopPhase(StopPhase.DRAINING);
-        mEntry.leave();
+        mEntry.drain();
         mGuard.leave();
         mDraining = true;
         boolean quiet = awaitQuiet(untilMillis, true);
--- a/src/main/java/org/apricotgauge/node/NodeObserver.java
+++ b/src/main/java/org/apricotgauge/node/NodeObserver.java
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void attempted(Target target, ObservedOutcome outcome, long totalMicros) {
+    public void onAttemptEnded(Target target, ObservedOutcome outcome, long totalMicros) {
         mDetection.observed(target, ObservationPoint.ENTRY, outcome, totalMicros);
     }
 
@@ -77,7 +77,7 @@
     @Override
     public void beforeAnswer(Target target, HttpFields.Mutable headers) {
         mShare.write(target, headers);
-        beforeHop(headers);
+        addHopHeaders(headers);
     }
 
     @Override
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void targetLeaving(Target target) {
+    public void onTargetLeaving(Target target) {
         if (mState.saysItLeaves(target)) {
             mEvents.record(new TargetLeaving(target.service(), target.id(), "target"));
         }
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public int nodes() {
+    public int nodeCount() {
         return mState.nodes();
     }
 
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public long beforeHop(HttpFields.Mutable headers) {
+    public long addHopHeaders(HttpFields.Mutable headers) {
         headers.put(HeaderNames.CLOCK, mEvents.stamp());
         return mControl.get().beforeHop(headers);
     }
@@ -137,12 +137,12 @@
     }
 
     @Override
-    public void guardAcknowledged(HttpFields headers, long askedMillis) {
+    public void onGuardAcknowledged(HttpFields headers, long askedMillis) {
         mControl.get().acknowledged(headers, askedMillis);
     }
 
     @Override
-    public void guardAnswered(Target target, HttpFields headers) {
+    public void onGuardAnswered(Target target, HttpFields headers) {
         mEvents.observe(headers);
         mControl.get().hopArrived(headers);
         EvidenceShare.read(headers)
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void told(String service, Outcome outcome) {
+    public void onRequestEnded(String service, Outcome outcome) {
         mWindows.count(service, kindOf(outcome));
     }
 
@@ -167,12 +167,12 @@
     }
 
     @Override
-    public void targetEnded(Target target, List<BrokenRun> runs) {
+    public void onTargetEnded(Target target, List<BrokenRun> runs) {
         mQuarantine.targetEnded(target, runs);
     }
 
     @Override
-    public void callFailed(String parentId) {
+    public void onNestedCallFailed(String parentId) {
         mLostCalls.add(parentId);
     }
 
@@ -187,7 +187,7 @@
     }
 
     @Override
-    public boolean isAtWork(String requestId) {
+    public boolean isRunning(String requestId) {
         return mAtWork.contains(requestId);
     }
 
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public boolean isRepeat(String requestId) {
+    public boolean isRetry(String requestId) {
         return mRepeats.contains(requestId);
     }
 
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public void fenced(Target target, String attempt, FenceAnswer answer) {
+    public void onFenceEnded(Target target, String attempt, FenceAnswer answer) {
         FenceResult result =
                 answer == null || answer.state() == FenceAnswer.State.UNKNOWN_FORGOTTEN
                         ? FenceResult.UNANSWERED
--- a/src/main/java/org/apricotgauge/node/SidecarSettings.java
+++ b/src/main/java/org/apricotgauge/node/SidecarSettings.java
@@ -288,7 +288,7 @@
                 limitTolerance,
                 new EntryOptions(
                         dialect,
-                        EntryOptions.Reach.GUARDS_ONLY,
+                        EntryOptions.TargetAccess.GUARDS_ONLY,
                         REPEATS,
                         KeyLimits.DEFAULT,
                         RetryAllowancePolicy.UNBOUNDED,
--- a/src/main/java/org/apricotgauge/predecessor/SharePolicy.java
+++ b/src/main/java/org/apricotgauge/predecessor/SharePolicy.java
@@ -19,7 +19,7 @@
  * moves each bucket once.
  */
 public final class SharePolicy {
-    private static final int BUCKETS = 100;
+    private static final int BUCKET_COUNT = 100;
 
     private SharePolicy() {}
 
@@ -54,12 +54,12 @@
     }
 
     private static int bucket(long hash) {
-        return (int) Long.remainderUnsigned(hash, BUCKETS);
+        return (int) Long.remainderUnsigned(hash, BUCKET_COUNT);
     }
 
     /** Returns whether the fleet serves a bucket while it has this share. */
-    public static boolean isFleets(int bucket, int fleetSharePercent) {
-        Checks.inRange("bucket", bucket, 0, BUCKETS - 1);
+    public static boolean isServedByFleet(int bucket, int fleetSharePercent) {
+        Checks.inRange("bucket", bucket, 0, BUCKET_COUNT - 1);
         return bucket < fleetSharePercent;
     }
 }
--- a/src/main/java/org/apricotgauge/target/GuardHandler.java
+++ b/src/main/java/org/apricotgauge/target/GuardHandler.java
@@ -151,7 +151,7 @@
                         observer,
                         this::takesWork,
                         dialect,
-                        ExitWatch.of(client, scheduler, this::takesWork, observer::targetEnded),
+                        ExitWatch.of(client, scheduler, this::takesWork, observer::onTargetEnded),
                         quarantine,
                         new RunLog(ticker),
                         GuardMetrics.of(registry));
--- a/src/main/java/org/apricotgauge/target/GuardObserver.java
+++ b/src/main/java/org/apricotgauge/target/GuardObserver.java
@@ -69,14 +69,14 @@
     void targetLimited(Target target, Optional<StartLimit> limit);
 
     /** Called when a target says in an answer that it leaves. */
-    void targetLeaving(Target target);
+    void onTargetLeaving(Target target);
 
     /**
      * Called when a target's process ended while it ran requests.
      *
      * @param runs the requests that were at work
      */
-    void targetEnded(Target target, List<BrokenRun> runs);
+    void onTargetEnded(Target target, List<BrokenRun> runs);
 
     /** Called before each acknowledgement, to add what entries should learn with it. */
     void beforeAcknowledgement(HttpFields.Mutable headers);
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -330,7 +330,7 @@
     private void takeNotice(SiteDialect.AnswerKind kind, TargetNotice notice) {
         mGate.told(notice, kind == SiteDialect.AnswerKind.ANSWER, mSentAtMillis);
         if (notice.leaving()) {
-            mContext.observer().targetLeaving(mGate.target());
+            mContext.observer().onTargetLeaving(mGate.target());
         }
     }
 
--- a/src/test/java/org/apricotgauge/caller/AnswerKeeperTest.java
+++ b/src/test/java/org/apricotgauge/caller/CapturingResponseTest.java
@@ -14,23 +14,24 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.junit.jupiter.api.Test;
 
-class AnswerKeeperTest {
+class CapturingResponseTest {
     private final List<String> mWritten = new ArrayList<>();
-    private final List<CompletableFuture<Void>> mInterims = new ArrayList<>();
-    private final Timer mTimer = new Timer();
-    private final AnswerKeeper mKeeper = new AnswerKeeper(null, new Wire(), 100, mTimer);
+    private final List<CompletableFuture<Void>> mInterimWrites = new ArrayList<>();
+    private final ManualScheduler mScheduler = new ManualScheduler();
+    private final CapturingResponse mResponse =
+            new CapturingResponse(null, new RecordingResponse(), 100, mScheduler);
 
     /** Notes what is written; interim answers end when the test ends them. */
-    private final class Wire extends Response.Wrapper {
-        Wire() {
+    private final class RecordingResponse extends Response.Wrapper {
+        RecordingResponse() {
             super(null, null);
         }
 
         @Override
         public CompletableFuture<Void> writeInterim(int status, HttpFields headers) {
             mWritten.add("interim " + status);
-            mInterims.add(new CompletableFuture<>());
-            return mInterims.get(mInterims.size() - 1);
+            mInterimWrites.add(new CompletableFuture<>());
+            return mInterimWrites.get(mInterimWrites.size() - 1);
         }
 
         @Override
@@ -40,40 +41,40 @@
     }
 
     /** Runs the one pending task when told to. */
-    private static final class Timer extends AbstractLifeCycle implements Scheduler {
-        private Runnable mPending;
+    private static final class ManualScheduler extends AbstractLifeCycle implements Scheduler {
+        private Runnable mPendingTask;
 
         @Override
         public Task schedule(Runnable task, long delay, TimeUnit unit) {
             assertThat(unit.toMillis(delay)).isEqualTo(1_000);
-            mPending = task;
+            mPendingTask = task;
             return () -> {
-                mPending = null;
+                mPendingTask = null;
                 return true;
             };
         }
 
-        void fire() {
-            Runnable task = mPending;
-            mPending = null;
+        void runPendingTask() {
+            Runnable task = mPendingTask;
+            mPendingTask = null;
             task.run();
         }
     }
 
     @Test
-    void speaksEverySecondUntilTheAnswerBeginsAndNeverTwiceAtOnce() {
-        mKeeper.acknowledge();
-        mTimer.fire();
+    void sendsHeartbeatsUntilTheAnswerBeginsWithoutOverlap() {
+        mResponse.sendHeartbeat();
+        mScheduler.runPendingTask();
         assertThat(mWritten).as("the first is still being written").containsExactly("interim 102");
-        mInterims.get(0).complete(null);
-        mTimer.fire();
+        mInterimWrites.get(0).complete(null);
+        mScheduler.runPendingTask();
         assertThat(mWritten).containsExactly("interim 102", "interim 102");
 
-        mKeeper.write(true, ByteBuffer.allocate(0), Callback.NOOP);
+        mResponse.write(true, ByteBuffer.allocate(0), Callback.NOOP);
         assertThat(mWritten).as("waits for the interim answer").hasSize(2);
-        mInterims.get(1).complete(null);
+        mInterimWrites.get(1).complete(null);
 
         assertThat(mWritten).containsExactly("interim 102", "interim 102", "answer");
-        assertThat(mTimer.mPending).isNull();
+        assertThat(mScheduler.mPendingTask).isNull();
     }
 }
--- a/src/test/java/org/apricotgauge/caller/CallParentTest.java
+++ b/src/test/java/org/apricotgauge/caller/NestedCallPolicyTest.java
@@ -9,24 +9,25 @@
 import org.junit.jupiter.api.Test;
 
 /** Which requests pass for calls of a target. */
-class CallParentTest {
+class NestedCallPolicyTest {
     private final KvDialect mDialect = new KvDialect("booking");
-    private final Set<String> mAtWork = Set.of("a8abaea6");
+    private final Set<String> mRunningIds = Set.of("a8abaea6");
 
     @Test
-    void aCallOfARequestAtWorkHereIsOne() {
+    void callOfARunningRequestHasItAsParent() {
         HttpFields call = request("a8abaea6.2345ead5");
 
-        assertThat(CallParent.of(mDialect, call, mAtWork::contains)).contains("a8abaea6");
+        assertThat(NestedCallPolicy.parentId(mDialect, call, mRunningIds::contains))
+                .contains("a8abaea6");
     }
 
     @Test
-    void aCallerThatWritesItsIdLikeACallsGainsNothing() {
+    void forgedParentIdIsIgnored() {
         // A caller that wants to go before others names a request of its own making. No such
         // request is at work beside this node, and it waits its turn.
         HttpFields forged = request("made-up.2345ead5");
 
-        assertThat(CallParent.of(mDialect, forged, mAtWork::contains)).isEmpty();
+        assertThat(NestedCallPolicy.parentId(mDialect, forged, mRunningIds::contains)).isEmpty();
     }
 
     private static HttpFields request(String id) {
--- a/src/test/java/org/apricotgauge/caller/QuarantineCheckTest.java
+++ b/src/test/java/org/apricotgauge/caller/QuarantineCheckTest.java
@@ -25,12 +25,12 @@
             new QuarantineTable(new ManualTicker(), new NoopQuarantineListener());
     private final ReplayableBody mBody =
             new ReplayableBody(new BytesRequestContent(FIRST, SECOND), 1_000);
-    private int mHeadsRead;
+    private int mHeadHashCount;
 
     // Guards against a fingerprint that changes with the number of attempts, so that crashes of one
     // request would never add up.
     @Test
-    void aBodyThatIsSentAgainHasTheSameFingerprint() {
+    void resentBodyHasTheSameFingerprint() {
         QuarantineCheck check = check(true);
         check.hashedBody().read();
         assertThat(check.fingerprint().isComplete()).isFalse();
@@ -41,48 +41,48 @@
     }
 
     @Test
-    void aHeldHeadIsToldByItsBodyWhichIsStillSentWhole() {
-        hold(new Fingerprint(HEAD, hashOf(FIRST)));
+    void bodyDecidesForAQuarantinedHeadAndIsStillSentInFull() {
+        quarantine(new Fingerprint(HEAD, hashOf(FIRST)));
         QuarantineCheck check = check(true);
         List<Long> heldMillis = new ArrayList<>();
 
-        check.whenIdentified(() -> heldMillis.add(check.heldMillis()));
+        check.whenIdentified(() -> heldMillis.add(check.remainingQuarantineMillis()));
 
         assertThat(heldMillis).containsExactly(0L);
         assertThat(readAll(check.hashedBody())).isEqualTo(FIRST.length + SECOND.length);
-        hold(new Fingerprint(HEAD, hashOf(FIRST, SECOND)));
-        assertThat(check.heldMillis()).isPositive();
+        quarantine(new Fingerprint(HEAD, hashOf(FIRST, SECOND)));
+        assertThat(check.remainingQuarantineMillis()).isPositive();
     }
 
     // Guards against holding up bodies, or hashing heads, while nothing is held.
     @Test
-    void whileNothingIsHeldNothingIsRead() {
+    void nothingIsReadWhileNothingIsQuarantined() {
         QuarantineCheck check = check(true);
-        check.whenIdentified(() -> assertThat(check.heldMillis()).isZero());
+        check.whenIdentified(() -> assertThat(check.remainingQuarantineMillis()).isZero());
 
-        assertThat(mHeadsRead).isZero();
+        assertThat(mHeadHashCount).isZero();
         assertThat(readAll(mBody.open())).isEqualTo(FIRST.length + SECOND.length);
     }
 
     @Test
-    void aRequestWithoutABodyIsKnownByItsHead() {
-        hold(new Fingerprint(HEAD, Fingerprint.NO_BODY));
+    void requestWithoutABodyIsIdentifiedByItsHead() {
+        quarantine(new Fingerprint(HEAD, Fingerprint.NO_BODY));
 
-        assertThat(check(false).heldMillis()).isPositive();
+        assertThat(check(false).remainingQuarantineMillis()).isPositive();
     }
 
     private QuarantineCheck check(boolean hasBody) {
         return new QuarantineCheck(
                 mTable,
                 () -> {
-                    mHeadsRead++;
+                    mHeadHashCount++;
                     return HEAD;
                 },
                 hasBody,
                 mBody);
     }
 
-    private void hold(Fingerprint fingerprint) {
+    private void quarantine(Fingerprint fingerprint) {
         for (int crashId = 0; crashId < 3; crashId++) {
             mTable.recordCrash(List.of(fingerprint), crashId);
         }
--- a/src/test/java/org/apricotgauge/caller/TargetChoiceTest.java
+++ b/src/test/java/org/apricotgauge/caller/TargetSelectorTest.java
@@ -26,22 +26,22 @@
 import org.junit.jupiter.api.Test;
 
 /** The way of one request over the targets of a service whose guards alone reach them. */
-class TargetChoiceTest {
+class TargetSelectorTest {
     private static final int TARGETS = 4;
 
     private final ManualTicker mTicker = new ManualTicker();
     private final List<Candidate> mCandidates = new ArrayList<>();
 
     @Test
-    void looksForAFreeSlotTwiceAndThenWaitsAtTheLeastLoaded() {
+    void waitsAtTheLeastLoadedTargetAfterTwoBusyRefusals() {
         // Four targets of three slots, all busy, one with nothing waiting. The request is turned
         // away twice without waiting; the answers tell the loads, and it queues at any of the four.
-        TargetChoice choice = choice();
+        TargetSelector choice = selector();
 
         Candidate first = choice.next(null).orElseThrow();
-        assertThat(choice.patience()).isEqualTo(QueueingPolicy.NO_WAIT);
+        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.NO_WAIT);
         Candidate second = choice.next(refused(NotRunReason.BUSY)).orElseThrow();
-        assertThat(choice.patience()).isEqualTo(QueueingPolicy.NO_WAIT);
+        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.NO_WAIT);
         assertThat(second).isNotSameAs(first);
         mCandidates.forEach(one -> one.load().reportLoad(2_000, mTicker.nanos()));
         first.load().reportLoad(1_000, mTicker.nanos());
@@ -54,23 +54,23 @@
     }
 
     private Candidate thirdChoice() {
-        TargetChoice choice = choice();
+        TargetSelector choice = selector();
         choice.next(null);
         choice.next(refused(NotRunReason.BUSY));
         Candidate third = choice.next(refused(NotRunReason.BUSY)).orElseThrow();
-        assertThat(choice.patience()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
+        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
         choice.next(refused(NotRunReason.BUSY));
-        assertThat(choice.patience()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
+        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
         choice.next(refused(NotRunReason.BUSY));
-        assertThat(choice.patience()).isEqualTo(QueueingPolicy.MAY_WAIT);
+        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.MAY_WAIT);
         return third;
     }
 
     @Test
-    void whereAllTargetsAreSuspectTheLeastSickIsRiskedAndNoneTwice() {
+    void leastDegradedTargetIsTriedOnceAsLastResort() {
         // All four guards think their targets sick and turn a booking away. It goes to the one that
         // is the least likely to be sick, once, and is refused for good after that.
-        TargetChoice choice = choice();
+        TargetSelector choice = selector();
         for (int i = 0; i < TARGETS; i++) {
             mCandidates.get(i).load().recordFailure(0.9 - 0.1 * i, mTicker.millis());
         }
@@ -84,7 +84,7 @@
 
         assertThat(tried).hasSize(TARGETS);
         assertThat(choice.isLastResort()).isTrue();
-        assertThat(choice.patience()).isEqualTo(QueueingPolicy.MAY_WAIT);
+        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.MAY_WAIT);
         assertThat(next.orElseThrow()).isSameAs(mCandidates.get(TARGETS - 1));
         assertThat(choice.next(refused(NotRunReason.QUEUE_FULL))).isEmpty();
     }
@@ -93,8 +93,8 @@
      * Guards against the early failure of a request that was broken off and that nobody else takes.
      */
     @Test
-    void whatNobodyElseTakesGoesBackToWhereItRan() {
-        TargetChoice choice = choice(true);
+    void idempotentRequestReturnsToItsFirstTargetAsLastResort() {
+        TargetSelector choice = selector(true);
         Candidate ran = choice.next(null).orElseThrow();
         choice.next(new Outcome.Unknown(UnknownReason.STARTED));
         for (int i = 2; i < TARGETS; i++) {
@@ -102,15 +102,15 @@
         }
 
         assertThat(choice.next(refused(NotRunReason.QUEUE_FULL))).containsSame(ran);
-        assertThat(choice.patience()).isEqualTo(QueueingPolicy.MAY_WAIT);
+        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.MAY_WAIT);
         assertThat(choice.next(refused(NotRunReason.QUEUE_FULL))).isEmpty();
     }
 
     @Test
-    void aTargetThatBeganToLeaveSinceTheRequestCameIsTriedNoMore() {
+    void targetThatBeganLeavingAfterTheRequestArrivedIsSkipped() {
         // A request is turned away by its first target. While it was there, all others but one said
         // that they leave; chosen by what was known when it came, it would lose a hop to each.
-        TargetChoice choice = choice();
+        TargetSelector choice = selector();
         Candidate first = choice.next(null).orElseThrow();
 
         Candidate stays = mCandidates.get(first == mCandidates.get(0) ? 1 : 0);
@@ -129,11 +129,11 @@
         return new Outcome.NotRun(reason, 0);
     }
 
-    private TargetChoice choice() {
-        return choice(false);
+    private TargetSelector selector() {
+        return selector(false);
     }
 
-    private TargetChoice choice(boolean repeatable) {
+    private TargetSelector selector(boolean repeatable) {
         if (mCandidates.isEmpty()) {
             for (int i = 0; i < TARGETS; i++) {
                 mCandidates.add(candidate("t" + i, "10.0.0." + i));
@@ -152,12 +152,12 @@
                         id -> Optional.empty(),
                         null,
                         FleetDialect.INSTANCE,
-                        EntryOptions.Reach.GUARDS_ONLY,
+                        EntryOptions.TargetAccess.GUARDS_ONLY,
                         null,
                         null,
                         null,
                         null);
-        return new TargetChoice(
+        return new TargetSelector(
                 context, () -> ServiceTable.of(service, mCandidates, "entry", "here"), repeatable);
     }
 
--- a/src/test/java/org/apricotgauge/functional/Hops.java
+++ b/src/test/java/org/apricotgauge/functional/Hops.java
@@ -13,7 +13,7 @@
 import org.apricotgauge.caller.EntryHandler;
 import org.apricotgauge.caller.EntryObserver;
 import org.apricotgauge.caller.EntryOptions;
-import org.apricotgauge.caller.MemberLimits;
+import org.apricotgauge.caller.MemberRateLimiter;
 import org.apricotgauge.decision.admission.AdmissionConfig;
 import org.apricotgauge.decision.attempt.AttemptIdGenerator;
 import org.apricotgauge.decision.attempt.AttemptLedger;
@@ -97,7 +97,7 @@
                 new QuarantineTable(Ticker.system(), new NoopQuarantineListener());
         private final Set<String> mToldLeaving = ConcurrentHashMap.newKeySet();
         private final RoutingTableFactory mTables;
-        private volatile MemberLimits mLimits = MemberLimits.UNBOUNDED;
+        private volatile MemberRateLimiter mLimits = MemberRateLimiter.UNBOUNDED;
         private GuardHandler mGuard;
         private EntryHandler mEntry;
         private Server mGuardServer;
@@ -220,7 +220,7 @@
     }
 
     /** Lets the entry of a VM ask these limits. */
-    Hops limits(String vm, MemberLimits limits) {
+    Hops limits(String vm, MemberRateLimiter limits) {
         mVms.get(vm).mLimits = limits;
         return this;
     }
@@ -303,13 +303,13 @@
                         new Blind(vm),
                         service -> Optional.empty(),
                         vm.mQuarantine,
-                        (member, request) -> vm.mLimits.take(member, request),
+                        (member, request) -> vm.mLimits.acquire(member, request),
                         EntryOptions.of(KEYS),
                         vm.mRegistry);
         startGuard(id, vm, targets);
         HttpServerFactory servers = new HttpServerFactory(mThreads, mScheduler);
-        vm.mEntryServer = servers.create("127.0.0.1", 0, vm.mEntry, vm.mEntry::refused);
-        vm.mEntry.open();
+        vm.mEntryServer = servers.create("127.0.0.1", 0, vm.mEntry, vm.mEntry::countBadRequest);
+        vm.mEntry.startBackgroundTasks();
         vm.mEntryServer.start();
         vm.mRelay = new Relay(() -> HttpServerFactory.portOf(vm.mGuardServer));
     }
@@ -385,10 +385,10 @@
         }
 
         @Override
-        public void attempted(Target target, ObservedOutcome outcome, long totalMicros) {}
+        public void onAttemptEnded(Target target, ObservedOutcome outcome, long totalMicros) {}
 
         @Override
-        public void targetLeaving(Target target) {
+        public void onTargetLeaving(Target target) {
             mVm.mToldLeaving.add(target.id());
         }
 
@@ -396,7 +396,7 @@
         public void targetLimited(Target target, Optional<StartLimit> limit) {}
 
         @Override
-        public int nodes() {
+        public int nodeCount() {
             return mVms.size();
         }
 
@@ -411,12 +411,12 @@
         }
 
         @Override
-        public long beforeHop(HttpFields.Mutable headers) {
+        public long addHopHeaders(HttpFields.Mutable headers) {
             return 0;
         }
 
         @Override
-        public void guardAcknowledged(HttpFields headers, long askedMillis) {}
+        public void onGuardAcknowledged(HttpFields headers, long askedMillis) {}
 
         @Override
         public long overdueMicros(Target target) {
@@ -431,19 +431,19 @@
                 Target target, DegradationEstimate.Report health, int loadPermille) {}
 
         @Override
-        public void guardAnswered(Target target, HttpFields headers) {}
+        public void onGuardAnswered(Target target, HttpFields headers) {}
 
         @Override
-        public void told(String service, Outcome outcome) {}
+        public void onRequestEnded(String service, Outcome outcome) {}
 
         @Override
-        public void targetEnded(Target target, List<BrokenRun> runs) {
+        public void onTargetEnded(Target target, List<BrokenRun> runs) {
             mVm.mQuarantine.recordCrash(
                     runs.stream().map(BrokenRun::fingerprint).toList(), System.nanoTime());
         }
 
         @Override
-        public void callFailed(String parentId) {}
+        public void onNestedCallFailed(String parentId) {}
 
         @Override
         public void runStarted(String requestId) {}
@@ -452,7 +452,7 @@
         public void runEnded(String requestId) {}
 
         @Override
-        public boolean isAtWork(String requestId) {
+        public boolean isRunning(String requestId) {
             return false;
         }
 
@@ -460,7 +460,7 @@
         public void repeatStarted(String requestId) {}
 
         @Override
-        public boolean isRepeat(String requestId) {
+        public boolean isRetry(String requestId) {
             return false;
         }
 
@@ -470,7 +470,7 @@
         }
 
         @Override
-        public void fenced(Target target, String attempt, FenceAnswer answer) {}
+        public void onFenceEnded(Target target, String attempt, FenceAnswer answer) {}
 
         @Override
         public void observed(Target target, ObservedOutcome outcome, long serviceMicros) {}
--- a/src/test/java/org/apricotgauge/functional/MovingInTest.java
+++ b/src/test/java/org/apricotgauge/functional/MovingInTest.java
@@ -92,7 +92,7 @@
                         .mapToObj(i -> name + '-' + i)
                         .map(id -> (report.orders().containsKey(id) ? "/once/" : "/read/") + id)
                         .mapToInt(MovingInTest::bucketOf)
-                        .filter(bucket -> !SharePolicy.isFleets(bucket, sharePercent))
+                        .filter(bucket -> !SharePolicy.isServedByFleet(bucket, sharePercent))
                         .count();
         assertThat(mOlder.served() - before).as(name).isEqualTo((int) expected);
     }
--- a/src/test/java/org/apricotgauge/predecessor/SharePolicyTest.java
+++ b/src/test/java/org/apricotgauge/predecessor/SharePolicyTest.java
@@ -17,20 +17,20 @@
     }
 
     @Property(seed = "71")
-    void growingShareMovesABucketOnceAndOnlyToTheFleet(
+    void growingShareMovesEachBucketOnceAndOnlyToTheFleet(
             @ForAll int request,
             @ForAll @IntRange(max = 100) int small,
             @ForAll @IntRange(max = 100) int large) {
-        boolean before = SharePolicy.isFleets(bucket(request), Math.min(small, large));
-        boolean after = SharePolicy.isFleets(bucket(request), Math.max(small, large));
+        boolean before = SharePolicy.isServedByFleet(bucket(request), Math.min(small, large));
+        boolean after = SharePolicy.isServedByFleet(bucket(request), Math.max(small, large));
 
         assertThat(!before || after).isTrue();
-        assertThat(SharePolicy.isFleets(bucket(request), 0)).isFalse();
-        assertThat(SharePolicy.isFleets(bucket(request), 100)).isTrue();
+        assertThat(SharePolicy.isServedByFleet(bucket(request), 0)).isFalse();
+        assertThat(SharePolicy.isServedByFleet(bucket(request), 100)).isTrue();
     }
 
     @Test
-    void eachBucketGetsItsHundredth() {
+    void bucketsReceiveEqualShares() {
         int[] counts = new int[100];
         for (int i = 0; i < REQUESTS; i++) {
             counts[bucket(i)]++;
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void bucketsAreTheSameInEveryReleaseAndProcess() {
+    void bucketsAreStableAcrossReleasesAndProcesses() {
         IdempotencyKey key = new IdempotencyKey("orders", "firm-3", "k-1");
 
         assertThat(SharePolicy.bucketOf(key)).isEqualTo(KEYED);
