--- a/src/main/java/org/apricotgauge/caller/DirectAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/DirectAttempt.java
@@ -110,7 +110,7 @@
             return;
         }
         mContext.exitDetector()
-                .broken(mCandidate.target(), brokenRun())
+                .reportBrokenRun(mCandidate.target(), brokenRun())
                 .whenComplete(
                         (told, ignored) ->
                                 mExchange.onAttemptEnded(
--- a/src/main/java/org/apricotgauge/caller/EntryContext.java
+++ b/src/main/java/org/apricotgauge/caller/EntryContext.java
@@ -6,7 +6,7 @@
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.http.SiteDialect;
 import org.apricotgauge.peer.hop.GuardClient;
-import org.apricotgauge.target.ExitWatch;
+import org.apricotgauge.target.ExitDetector;
 import org.apricotgauge.time.Ticker;
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.util.thread.Scheduler;
@@ -42,7 +42,7 @@
         LagMeter lagMeter,
         SiteDialect dialect,
         EntryOptions.TargetAccess targetAccess,
-        ExitWatch exitDetector,
+        ExitDetector exitDetector,
         QuarantineTable quarantine,
         RequestLog requestLog,
         EntryMetrics metrics) {
--- a/src/main/java/org/apricotgauge/caller/EntryHandler.java
+++ b/src/main/java/org/apricotgauge/caller/EntryHandler.java
@@ -26,7 +26,7 @@
 import org.apricotgauge.model.Member;
 import org.apricotgauge.model.Route;
 import org.apricotgauge.peer.hop.GuardClient;
-import org.apricotgauge.target.ExitWatch;
+import org.apricotgauge.target.ExitDetector;
 import org.apricotgauge.time.Ticker;
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.http.HttpHeader;
@@ -108,7 +108,7 @@
                         new LagMeter(scheduler, ticker),
                         options.dialect(),
                         options.targetAccess(),
-                        ExitWatch.of(
+                        ExitDetector.of(
                                 direct,
                                 scheduler,
                                 target -> mRoutingTable.get().acceptsRequests(target),
--- a/src/main/java/org/apricotgauge/node/Node.java
+++ b/src/main/java/org/apricotgauge/node/Node.java
@@ -447,7 +447,7 @@
         awaitQuiet(Math.min(untilMillis, startMillis + mProfile.serveOnMillis()), false);
         stopPhase(StopPhase.DRAINING);
         mEntry.drain();
-        mGuard.leave();
+        mGuard.drain();
         mDraining = true;
         boolean quiet = awaitQuiet(untilMillis, true);
         stopPhase(quiet ? StopPhase.DRAINED : StopPhase.TIMED_OUT);
--- a/src/main/java/org/apricotgauge/node/NodeObserver.java
+++ b/src/main/java/org/apricotgauge/node/NodeObserver.java
@@ -70,18 +70,18 @@
     }
 
     @Override
-    public void observed(Target target, ObservedOutcome outcome, long serviceMicros) {
+    public void onOutcome(Target target, ObservedOutcome outcome, long serviceMicros) {
         mDetection.observed(target, ObservationPoint.GUARD, outcome, serviceMicros);
     }
 
     @Override
-    public void beforeAnswer(Target target, HttpFields.Mutable headers) {
+    public void addAnswerHeaders(Target target, HttpFields.Mutable headers) {
         mShare.write(target, headers);
         addHopHeaders(headers);
     }
 
     @Override
-    public void beforeAcknowledgement(HttpFields.Mutable headers) {
+    public void addAcknowledgementHeaders(HttpFields.Mutable headers) {
         mControl.get().beforeAcknowledgement(headers);
     }
 
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void targetLimited(Target target, Optional<StartLimit> limit) {
+    public void onTargetLimitChanged(Target target, Optional<StartLimit> limit) {
         Double perSecond = limit.map(StartLimit::perSecond).orElse(null);
         mEvents.record(new TargetLimited(target.service(), target.id(), perSecond));
     }
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public boolean isSiteCurrent() {
+    public boolean isSiteViewFresh() {
         return mControl.get().isCurrent();
     }
 
@@ -120,19 +120,20 @@
     }
 
     @Override
-    public long overdueMicros(Target target) {
+    public long unresponsiveAfterMicros(Target target) {
         return mDetection.overdueMicros(target);
     }
 
     @Override
-    public void attemptArrived(Target target, String entryHost, HttpFields headers) {
+    public void onAttemptArrived(Target target, String entryHost, HttpFields headers) {
         mNews.get().ifPresent(news -> news.seen(target, entryHost));
         mEvents.observe(headers);
         mControl.get().hopArrived(headers);
     }
 
     @Override
-    public void healthSeen(Target target, DegradationEstimate.Report health, int loadPermille) {
+    public void onHealthObserved(
+            Target target, DegradationEstimate.Report health, int loadPermille) {
         mNews.get().ifPresent(news -> news.tell(target, health, loadPermille));
     }
 
@@ -177,12 +178,12 @@
     }
 
     @Override
-    public void runStarted(String requestId) {
+    public void onRunStarted(String requestId) {
         mAtWork.add(requestId);
     }
 
     @Override
-    public void runEnded(String requestId) {
+    public void onRunEnded(String requestId) {
         mAtWork.remove(requestId);
     }
 
@@ -192,7 +193,7 @@
     }
 
     @Override
-    public void repeatStarted(String requestId) {
+    public void onRetryStarted(String requestId) {
         mRepeats.add(requestId);
     }
 
@@ -202,7 +203,7 @@
     }
 
     @Override
-    public boolean hasLostCall(String requestId) {
+    public boolean hasFailedCall(String requestId) {
         return mLostCalls.contains(requestId);
     }
 
--- a/src/main/java/org/apricotgauge/target/Acknowledgements.java
+++ b/src/main/java/org/apricotgauge/target/AcknowledgementSender.java
@@ -20,17 +20,17 @@
  *
  * <p>An entry that hears none knows of a dead path long before the deadline. Thread-safe.
  */
-final class Acknowledgements {
-    private static final long REPEAT_MILLIS = 1_000;
+final class AcknowledgementSender {
+    private static final long INTERVAL_MILLIS = 1_000;
 
-    private static final String PROCESSING = "guard";
+    private static final String SERVER_NAME = "guard";
 
     private final Scheduler mScheduler;
     private final Response mResponse;
-    private final BooleanSupplier mIsOver;
-    private final Consumer<HttpFields.Mutable> mOnHead;
-    private CompletableFuture<Void> mInterim = CompletableFuture.completedFuture(null);
-    private volatile Scheduler.Task mNext;
+    private final BooleanSupplier mHasAnswerBegun;
+    private final Consumer<HttpFields.Mutable> mHeaderWriter;
+    private CompletableFuture<Void> mPendingWrite = CompletableFuture.completedFuture(null);
+    private volatile Scheduler.Task mNextSend;
 
     /**
      * Creates what tells the entry.
@@ -38,40 +38,40 @@
      * @param isOver whether the answer has begun, so that nothing is told any more
      * @param onHead adds to each interim answer what the entry should learn
      */
-    Acknowledgements(
+    AcknowledgementSender(
             Scheduler scheduler,
             Response response,
             BooleanSupplier isOver,
             Consumer<HttpFields.Mutable> onHead) {
         mScheduler = scheduler;
         mResponse = response;
-        mIsOver = isOver;
-        mOnHead = onHead;
+        mHasAnswerBegun = isOver;
+        mHeaderWriter = onHead;
     }
 
     /** Tells now, and again later. */
-    synchronized void tell() {
-        if (mIsOver.getAsBoolean()) {
+    synchronized void send() {
+        if (mHasAnswerBegun.getAsBoolean()) {
             return;
         }
-        HttpFields.Mutable fields = HttpFields.build().put(HttpHeader.SERVER, PROCESSING);
-        mOnHead.accept(fields);
-        mInterim = mResponse.writeInterim(HttpStatus.PROCESSING_102, fields.asImmutable());
-        mNext = mScheduler.schedule(this::tell, REPEAT_MILLIS, TimeUnit.MILLISECONDS);
+        HttpFields.Mutable fields = HttpFields.build().put(HttpHeader.SERVER, SERVER_NAME);
+        mHeaderWriter.accept(fields);
+        mPendingWrite = mResponse.writeInterim(HttpStatus.PROCESSING_102, fields.asImmutable());
+        mNextSend = mScheduler.schedule(this::send, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Runs an action that writes; two writes at once would clash. */
-    void after(Runnable action) {
+    void runAfterPendingWrite(Runnable action) {
         CompletableFuture<Void> interim;
         synchronized (this) {
-            interim = mInterim;
+            interim = mPendingWrite;
         }
         interim.whenComplete((written, failure) -> action.run());
     }
 
     /** Tells no more. */
     void stop() {
-        Scheduler.Task next = mNext;
+        Scheduler.Task next = mNextSend;
         if (next != null) {
             next.cancel();
         }
--- a/src/main/java/org/apricotgauge/target/ExitWatch.java
+++ b/src/main/java/org/apricotgauge/target/ExitDetector.java
@@ -24,7 +24,7 @@
  * is asked for a new connection: where none listens any more, all runs that broke until then ended
  * with the process. A target that is expected to leave is not asked. Thread-safe.
  */
-public final class ExitWatch {
+public final class ExitDetector {
     /** Time in which the other connections of a process that ends break as well. */
     static final long SETTLE_MILLIS = 30;
 
@@ -36,12 +36,12 @@
 
     private final TargetProbe mProbe;
     private final Scheduler mScheduler;
-    private final Predicate<Target> mTakesWork;
-    private final BiConsumer<Target, List<BrokenRun>> mOnEnd;
-    private final ConcurrentMap<String, Check> mBroken = new ConcurrentHashMap<>();
+    private final Predicate<Target> mAcceptsRequests;
+    private final BiConsumer<Target, List<BrokenRun>> mOnExit;
+    private final ConcurrentMap<String, ExitCheck> mChecks = new ConcurrentHashMap<>();
 
     /** One question to a target, and the runs that broke until its answer. */
-    private static final class Check {
+    private static final class ExitCheck {
         private final List<BrokenRun> mRuns = new ArrayList<>();
         private final CompletableFuture<Void> mDone = new CompletableFuture<>();
     }
@@ -54,15 +54,15 @@
      * @param takesWork whether a target is there and not leaving
      * @param onEnd hears of a target that ended, and of the runs that it took along
      */
-    ExitWatch(
+    ExitDetector(
             TargetProbe probe,
             Scheduler scheduler,
             Predicate<Target> takesWork,
             BiConsumer<Target, List<BrokenRun>> onEnd) {
         mProbe = probe;
         mScheduler = scheduler;
-        mTakesWork = takesWork;
-        mOnEnd = onEnd;
+        mAcceptsRequests = takesWork;
+        mOnExit = onEnd;
     }
 
     /**
@@ -71,12 +71,12 @@
      * @param takesWork whether a target is there and not leaving
      * @param onEnd hears of a target that ended, and of the runs that it took along
      */
-    public static ExitWatch of(
+    public static ExitDetector of(
             HttpClient client,
             Scheduler scheduler,
             Predicate<Target> takesWork,
             BiConsumer<Target, List<BrokenRun>> onEnd) {
-        return new ExitWatch(TargetProbe.connecting(client), scheduler, takesWork, onEnd);
+        return new ExitDetector(TargetProbe.using(client), scheduler, takesWork, onEnd);
     }
 
     /**
@@ -85,18 +85,18 @@
      * @return completes once the end of the target, if it has ended, was told; at the latest after
      *     {@link #MAX_WAIT_MILLIS}
      */
-    public CompletableFuture<Void> broken(Target target, BrokenRun run) {
-        if (!mTakesWork.test(target)) {
+    public CompletableFuture<Void> reportBrokenRun(Target target, BrokenRun run) {
+        if (!mAcceptsRequests.test(target)) {
             return CompletableFuture.completedFuture(null);
         }
-        return mBroken.compute(target.id(), (id, check) -> add(target, check, run)).mDone;
+        return mChecks.compute(target.id(), (id, check) -> addRun(target, check, run)).mDone;
     }
 
-    private Check add(Target target, Check present, BrokenRun run) {
-        Check check = present;
+    private ExitCheck addRun(Target target, ExitCheck present, BrokenRun run) {
+        ExitCheck check = present;
         if (check == null) {
-            Check first = new Check();
-            mScheduler.schedule(() -> ask(target), SETTLE_MILLIS, TimeUnit.MILLISECONDS);
+            ExitCheck first = new ExitCheck();
+            mScheduler.schedule(() -> probe(target), SETTLE_MILLIS, TimeUnit.MILLISECONDS);
             mScheduler.schedule(
                     () -> first.mDone.complete(null), MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
             check = first;
@@ -107,17 +107,17 @@
         return check;
     }
 
-    private void ask(Target target) {
-        mProbe.ask(target).thenAccept(answer -> decide(target, answer));
+    private void probe(Target target) {
+        mProbe.probe(target).thenAccept(answer -> handleProbeResult(target, answer));
     }
 
-    private void decide(Target target, TargetProbe.Answer answer) {
-        Check check = mBroken.remove(target.id());
+    private void handleProbeResult(Target target, TargetProbe.Result answer) {
+        ExitCheck check = mChecks.remove(target.id());
         if (check == null) {
             return;
         }
-        if (answer == TargetProbe.Answer.REFUSES) {
-            mOnEnd.accept(target, List.copyOf(check.mRuns));
+        if (answer == TargetProbe.Result.REFUSED) {
+            mOnExit.accept(target, List.copyOf(check.mRuns));
         }
         check.mDone.complete(null);
     }
--- a/src/main/java/org/apricotgauge/target/GuardContext.java
+++ b/src/main/java/org/apricotgauge/target/GuardContext.java
@@ -17,9 +17,9 @@
  * @param scheduler runs timeouts
  * @param ticker time of ledger and queues
  * @param observer hears how requests ended
- * @param takesWork whether a target is there and not leaving
+ * @param acceptsRequests whether a target is there and not leaving
  * @param dialect headers of the site's targets
- * @param exits tells which targets ended while they ran requests
+ * @param exitDetector tells which targets ended while they ran requests
  * @param quarantine which requests are kept from targets
  * @param log tells which requests were sent to targets
  * @param metrics counters
@@ -30,9 +30,9 @@
         Scheduler scheduler,
         Ticker ticker,
         GuardObserver observer,
-        Predicate<Target> takesWork,
+        Predicate<Target> acceptsRequests,
         SiteDialect dialect,
-        ExitWatch exits,
+        ExitDetector exitDetector,
         QuarantineTable quarantine,
-        RunLog log,
+        TargetRunLog log,
         GuardMetrics metrics) {}
--- a/src/main/java/org/apricotgauge/target/GuardHandler.java
+++ b/src/main/java/org/apricotgauge/target/GuardHandler.java
@@ -75,20 +75,20 @@
     /** Value of {@link HeaderNames#CONTROL}: what the platform published, as this node knows it. */
     public static final String CONTROL_DIRECTORY = "directory";
 
-    private static final long EXPIRE_EVERY_MILLIS = 10;
+    private static final long EXPIRY_INTERVAL_MILLIS = 10;
 
-    private final Supplier<RoutingTable> mTable;
+    private final Supplier<RoutingTable> mRoutingTable;
     private final String mVm;
     private final GuardContext mContext;
-    private final TargetGates mGates;
+    private final TargetGateRegistry mGates;
     private final AtomicLong mTicketIds = new AtomicLong();
     private final AtomicInteger mInFlight = new AtomicInteger();
     private final ConcurrentMap<Attempt, GuardedRequest> mRequests = new ConcurrentHashMap<>();
-    private final Request.Handler mKeyed;
-    private final DirectoryPages mDirectory;
-    private final RetryBudgetRegistry mRetries;
-    private final AtomicBoolean mExpiring = new AtomicBoolean();
-    private volatile boolean mLeaving;
+    private final Request.Handler mKeyedHandler;
+    private final DirectoryPages mDirectoryPages;
+    private final RetryBudgetRegistry mRetryBudgets;
+    private final AtomicBoolean mExpiryScheduled = new AtomicBoolean();
+    private volatile boolean mDraining;
 
     /** Tells a peer what the platform published. */
     @FunctionalInterface
@@ -100,7 +100,7 @@
          * @param waitMillis how long it waits for a change; 0 if it asks for a younger view
          * @param compressed whether it takes compressed values
          */
-        CompletableFuture<byte[]> published(
+        CompletableFuture<byte[]> changesAfter(
                 long afterRevision, long waitMillis, boolean compressed);
     }
 
@@ -138,10 +138,10 @@
             DirectoryPages directory,
             MetricRegistry registry) {
         mVm = vm;
-        mDirectory = directory;
-        mRetries = new RetryBudgetRegistry(retries, ticker.millis());
-        mTable = table;
-        mKeyed = keyed;
+        mDirectoryPages = directory;
+        mRetryBudgets = new RetryBudgetRegistry(retries, ticker.millis());
+        mRoutingTable = table;
+        mKeyedHandler = keyed;
         mContext =
                 new GuardContext(
                         client,
@@ -149,36 +149,37 @@
                         scheduler,
                         ticker,
                         observer,
-                        this::takesWork,
+                        this::acceptsRequests,
                         dialect,
-                        ExitWatch.of(client, scheduler, this::takesWork, observer::onTargetEnded),
+                        ExitDetector.of(
+                                client, scheduler, this::acceptsRequests, observer::onTargetEnded),
                         quarantine,
-                        new RunLog(ticker),
+                        new TargetRunLog(ticker),
                         GuardMetrics.of(registry));
         mGates =
-                new TargetGates(
+                new TargetGateRegistry(
                         slotUse,
                         ticker,
-                        new LimitReport(
+                        new LimitReporter(
                                 mContext.log(),
                                 mContext.metrics().limitedTargets(),
-                                observer::targetLimited),
+                                observer::onTargetLimitChanged),
                         this::expireWhileQueued);
     }
 
     // Waiting requests are looked at every few milliseconds; while none waits, no timer runs.
     private void expireWhileQueued() {
-        if (mExpiring.compareAndSet(false, true)) {
+        if (mExpiryScheduled.compareAndSet(false, true)) {
             scheduleExpiry();
         }
     }
 
     private void scheduleExpiry() {
         mContext.scheduler()
-                .schedule(this::expireAndGoOn, EXPIRE_EVERY_MILLIS, TimeUnit.MILLISECONDS);
+                .schedule(this::expireAndReschedule, EXPIRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void expireAndGoOn() {
+    private void expireAndReschedule() {
         boolean queued = true;
         try {
             queued = mGates.expire();
@@ -186,7 +187,7 @@
             if (queued) {
                 scheduleExpiry();
             } else {
-                mExpiring.set(false);
+                mExpiryScheduled.set(false);
                 // One that was queued after the look and before the mark has found the mark set.
                 if (mGates.expire()) {
                     expireWhileQueued();
@@ -202,9 +203,9 @@
      * <p>One that waited on would get its slot when little is left of the stop's time, and be cut
      * at the target; now it is sent to another.
      */
-    public void leave() {
-        mLeaving = true;
-        mRequests.values().forEach(GuardedRequest::leaving);
+    public void drain() {
+        mDraining = true;
+        mRequests.values().forEach(GuardedRequest::onDraining);
     }
 
     /** Returns how many attempts are here, waiting or running. */
@@ -223,7 +224,7 @@
             return true;
         }
         if (CONTROL_DIRECTORY.equals(control)) {
-            tellDirectory(request.getHeaders(), response, callback);
+            writeDirectoryPage(request.getHeaders(), response, callback);
             return true;
         }
         Optional<Attempt> attempt =
@@ -246,11 +247,11 @@
         return true;
     }
 
-    private void tellDirectory(HttpFields question, Response response, Callback callback) {
+    private void writeDirectoryPage(HttpFields question, Response response, Callback callback) {
         long afterRevision = Math.max(0, question.getLongField(HeaderNames.DIRECTORY));
         long waitMillis = Math.max(0, question.getLongField(HeaderNames.DIRECTORY_WAIT_MILLIS));
-        mDirectory
-                .published(
+        mDirectoryPages
+                .changesAfter(
                         afterRevision,
                         waitMillis,
                         question.contains(HeaderNames.DIRECTORY_COMPRESSED))
@@ -271,9 +272,9 @@
             throws Exception {
         AttemptAdmission arrival = mContext.ledger().check(attempt, mContext.ticker().millis());
         if (arrival == AttemptAdmission.ADMITTED) {
-            return mKeyed.handle(request, response, callback);
+            return mKeyedHandler.handle(request, response, callback);
         }
-        refuse(arrival, response, callback);
+        reject(arrival, response, callback);
         return true;
     }
 
@@ -282,44 +283,44 @@
         FenceAnswer answer = mContext.ledger().fence(attempt, mContext.ticker().millis());
         GuardedRequest waiting = mRequests.get(attempt);
         if (waiting != null && abandon) {
-            waiting.abandoned();
+            waiting.onAbandoned();
         } else if (waiting != null) {
-            waiting.fenced();
+            waiting.onFenced();
         }
-        Bodies.writeText(response, callback, HttpStatus.OK_200, wordOf(answer));
+        Bodies.writeText(response, callback, HttpStatus.OK_200, textOf(answer));
     }
 
     /** Returns the word that a fence is answered with. */
-    private static String wordOf(FenceAnswer answer) {
+    private static String textOf(FenceAnswer answer) {
         return answer.state().name() + ' ' + answer.status();
     }
 
     private void forward(Attempt attempt, Request request, Response response, Callback callback) {
         mContext.metrics().requests().inc();
-        if (mLeaving) {
-            refuse(response, callback, NotRunReason.LEAVING);
+        if (mDraining) {
+            reject(response, callback, NotRunReason.LEAVING);
             return;
         }
         Target target = targetOf(request);
         if (target == null || !target.vm().equals(mVm)) {
-            refuse(response, callback, NotRunReason.TARGET_UNREACHABLE);
+            reject(response, callback, NotRunReason.TARGET_UNREACHABLE);
             return;
         }
-        TargetGate gate = mGates.of(target);
+        TargetGate gate = mGates.gateOf(target);
         if (gate.isReplaced()) {
-            refuse(response, callback, NotRunReason.TARGET_UNREACHABLE);
+            reject(response, callback, NotRunReason.TARGET_UNREACHABLE);
             return;
         }
         mContext.observer()
-                .attemptArrived(target, Request.getRemoteAddr(request), request.getHeaders());
+                .onAttemptArrived(target, Request.getRemoteAddr(request), request.getHeaders());
         long nowMillis = mContext.ticker().millis();
         AttemptAdmission arrival = mContext.ledger().admit(attempt, nowMillis);
         if (arrival != AttemptAdmission.ADMITTED) {
-            refuse(arrival, response, callback);
+            reject(arrival, response, callback);
             return;
         }
         StartLimit.parseOrNone(request.getHeaders().get(HeaderNames.TARGET_LIMIT))
-                .ifPresent(gate::heardLimit);
+                .ifPresent(gate::handleEntryLimit);
         Ticket ticket = ticketOf(attempt, request);
         mInFlight.incrementAndGet();
         Callback counted =
@@ -338,17 +339,18 @@
                         request,
                         response,
                         counted,
-                        cautionOf(request),
-                        passOf(target, request));
+                        riskToleranceOf(request),
+                        retryChargeOf(target, request));
         mRequests.put(attempt, guarded);
-        guarded.begin();
+        guarded.start();
     }
 
     // The kinds of work are the routes; a guard that knows no such route yet has no estimate
     // either.
-    private String workOf(Request request) {
+    private String workKindOf(Request request) {
         String path = request.getHttpURI().getPath();
-        return mTable.get()
+        return mRoutingTable
+                .get()
                 .routes()
                 .find(Request.getServerName(request), path == null ? "/" : path)
                 .map(Route::id)
@@ -356,18 +358,19 @@
     }
 
     // Work that waited here while its target left would reach it later than targets serve on.
-    private boolean takesWork(Target target) {
-        return mTable.get().acceptsRequests(target);
+    private boolean acceptsRequests(Target target) {
+        return mRoutingTable.get().acceptsRequests(target);
     }
 
     private Target targetOf(Request request) {
         String id = request.getHeaders().get(HeaderNames.TARGET);
-        return id == null ? null : mTable.get().target(id);
+        return id == null ? null : mRoutingTable.get().target(id);
     }
 
     private Ticket ticketOf(Attempt attempt, Request request) {
         String memberId = request.getHeaders().get(HeaderNames.MEMBER);
-        Member member = memberId == null ? null : mTable.get().configuration().member(memberId);
+        Member member =
+                memberId == null ? null : mRoutingTable.get().configuration().member(memberId);
         if (member == null) {
             member =
                     new Member(
@@ -381,30 +384,30 @@
                 member,
                 // A running request holds its slot while it waits, whatever the call's route says.
                 isCall ? Priority.CRITICAL : priorityOf(request),
-                workOf(request),
+                workKindOf(request),
                 isCall,
-                patienceOf(request),
+                queueingPolicyOf(request),
                 usefulMillis >= 0
                         ? mContext.ticker().millis() + usefulMillis
                         : attempt.latestStartMillis(),
                 attempt.latestStartMillis());
     }
 
-    private RetryPass passOf(Target target, Request request) {
-        Optional<ServiceTable> table = mTable.get().service(target.service());
+    private RetryCharge retryChargeOf(Target target, Request request) {
+        Optional<ServiceTable> table = mRoutingTable.get().service(target.service());
         RetryBudget budget =
-                table.map(one -> mRetries.of(one.service(), one.all().size()))
+                table.map(one -> mRetryBudgets.of(one.service(), one.all().size()))
                         .orElseGet(RetryBudget::none);
         String id = mContext.dialect().requestId(request.getHeaders());
-        return new RetryPass(
+        return new RetryCharge(
                 request.getHeaders(),
                 budget,
                 mContext.ticker(),
-                () -> mContext.observer().repeatStarted(id));
+                () -> mContext.observer().onRetryStarted(id));
     }
 
     // An entry of an older release names none, and is served as before.
-    private static HealthGate.RiskTolerance cautionOf(Request request) {
+    private static HealthGate.RiskTolerance riskToleranceOf(Request request) {
         String word = request.getHeaders().get(HeaderNames.CAUTION);
         for (HealthGate.RiskTolerance caution : HealthGate.RiskTolerance.values()) {
             if (caution.name().toLowerCase(Locale.ROOT).equals(word)) {
@@ -415,7 +418,7 @@
     }
 
     // An entry of an older release names none, and waits as before.
-    private static QueueingPolicy patienceOf(Request request) {
+    private static QueueingPolicy queueingPolicyOf(Request request) {
         String word = request.getHeaders().get(HeaderNames.PATIENCE);
         for (QueueingPolicy patience : QueueingPolicy.values()) {
             if (patience.name().toLowerCase(Locale.ROOT).equals(word)) {
@@ -435,13 +438,13 @@
         return Priority.NORMAL;
     }
 
-    private void refuse(Response response, Callback callback, NotRunReason reason) {
+    private void reject(Response response, Callback callback, NotRunReason reason) {
         mContext.metrics().notRun().inc();
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
         Outcomes.write(response, callback, new Outcome.NotRun(reason, 0));
     }
 
-    private void refuse(AttemptAdmission arrival, Response response, Callback callback) {
+    private void reject(AttemptAdmission arrival, Response response, Callback callback) {
         if (!arrival.provesNotRun()) {
             mContext.metrics().unknown().inc();
             Outcomes.write(response, callback, new Outcome.Unknown(UnknownReason.FORGOTTEN));
@@ -454,6 +457,6 @@
                     case EXPIRED, TOO_FAR_AHEAD -> NotRunReason.DEADLINE_PASSED;
                     default -> NotRunReason.FENCED;
                 };
-        refuse(response, callback, reason);
+        reject(response, callback, reason);
     }
 }
--- a/src/main/java/org/apricotgauge/target/GuardMetrics.java
+++ b/src/main/java/org/apricotgauge/target/GuardMetrics.java
@@ -16,7 +16,7 @@
         Counter badRequests,
         Counter foreignAnswers,
         Counter limitedTargets,
-        Timer service) {
+        Timer serviceTime) {
 
     static GuardMetrics of(MetricRegistry registry) {
         return new GuardMetrics(
--- a/src/main/java/org/apricotgauge/target/GuardObserver.java
+++ b/src/main/java/org/apricotgauge/target/GuardObserver.java
@@ -19,21 +19,21 @@
      * @param outcome how it ended
      * @param serviceMicros time from the first byte to the end of the answer, in microseconds
      */
-    void observed(Target target, ObservedOutcome outcome, long serviceMicros);
+    void onOutcome(Target target, ObservedOutcome outcome, long serviceMicros);
 
     /**
      * Returns the service time after which a request that still runs is observed as overdue.
      *
      * @return microseconds; {@link Long#MAX_VALUE} while nothing is known of the service
      */
-    long overdueMicros(Target target);
+    long unresponsiveAfterMicros(Target target);
 
     /**
      * Called with the head of each attempt that arrives.
      *
      * @param entryHost IP number of the entry that sent it
      */
-    void attemptArrived(Target target, String entryHost, HttpFields headers);
+    void onAttemptArrived(Target target, String entryHost, HttpFields headers);
 
     /**
      * Called after each request that showed something of the target's health.
@@ -41,32 +41,32 @@
      * @param health how likely the target is to be sick
      * @param loadPermille requests running and waiting, in permille of its slots
      */
-    void healthSeen(Target target, DegradationEstimate.Report health, int loadPermille);
+    void onHealthObserved(Target target, DegradationEstimate.Report health, int loadPermille);
 
     /** Returns whether what this node knows of the site is young enough to send work by it. */
-    boolean isSiteCurrent();
+    boolean isSiteViewFresh();
 
     /** Returns what this node knows of the site now, for the line of a decision. */
     SiteView siteView();
 
     /** Called when a request, by its id, starts at a target. */
-    void runStarted(String requestId);
+    void onRunStarted(String requestId);
 
     /** Called when a request, by its id, has ended at its target. */
-    void runEnded(String requestId);
+    void onRunEnded(String requestId);
 
     /** Called when a request that ran at another target before, by its id, starts at a target. */
-    void repeatStarted(String requestId);
+    void onRetryStarted(String requestId);
 
     /** Returns whether a call that a target made for this request, by its id, has failed. */
-    boolean hasLostCall(String requestId);
+    boolean hasFailedCall(String requestId);
 
     /**
      * Called when a target names another limit than before.
      *
      * @param limit what it names from now on; nothing if it names none
      */
-    void targetLimited(Target target, Optional<StartLimit> limit);
+    void onTargetLimitChanged(Target target, Optional<StartLimit> limit);
 
     /** Called when a target says in an answer that it leaves. */
     void onTargetLeaving(Target target);
@@ -79,8 +79,8 @@
     void onTargetEnded(Target target, List<BrokenRun> runs);
 
     /** Called before each acknowledgement, to add what entries should learn with it. */
-    void beforeAcknowledgement(HttpFields.Mutable headers);
+    void addAcknowledgementHeaders(HttpFields.Mutable headers);
 
     /** Called before each answer, to add what entries should learn with it. */
-    void beforeAnswer(Target target, HttpFields.Mutable headers);
+    void addAnswerHeaders(Target target, HttpFields.Mutable headers);
 }
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -37,7 +37,7 @@
  * <p>It ends once: refused before its first byte (proof of "not run"), answered, or broken. Each
  * ending tells the ledger, the gate, the observer and the entry, in that order.
  */
-final class GuardedRequest implements TargetGate.Work, UpstreamExchange.Listener {
+final class GuardedRequest implements TargetGate.AdmissionListener, UpstreamExchange.Listener {
     /** An answer below shows that the request does its target no harm. */
     private static final int FIRST_FAILURE_STATUS = 400;
 
@@ -48,29 +48,29 @@
     private final Request mRequest;
     private final Response mResponse;
     private final Callback mCallback;
-    private final HealthGate.RiskTolerance mCaution;
-    private final RetryPass mPass;
-    private final HopTime mTime;
-    private final long mArrivedAtMillis;
-    private volatile long mSlotAtMillis;
-    private volatile SiteView mView = SiteView.NONE;
+    private final HealthGate.RiskTolerance mRiskTolerance;
+    private final RetryCharge mRetryCharge;
+    private final RunDeadline mRunDeadline;
+    private final long mArrivedMillis;
+    private volatile long mAdmittedMillis;
+    private volatile SiteView mSiteView = SiteView.NONE;
     private final AtomicReference<Phase> mPhase = new AtomicReference<>(Phase.WAITING);
-    private volatile long mSentAtNanos;
-    private volatile long mSentAtMillis;
+    private volatile long mSentNanos;
+    private volatile long mSentMillis;
     private volatile UpstreamExchange mExchange;
-    private volatile Scheduler.Task mTimeout;
-    private volatile boolean mPaidNext;
-    private final Acknowledgements mAcknowledgements;
+    private volatile Scheduler.Task mTimeoutTask;
+    private volatile boolean mRetryPrepaid;
+    private final AcknowledgementSender mAcknowledgements;
     private final RunIdentity mIdentity;
-    private final RunWatch mWatch;
-    private final SendCheck mCheck;
+    private final RunMonitor mRunMonitor;
+    private final SendCheck mSendCheck;
     private volatile boolean mTimedOut;
 
     /** Why nothing was written though the request had its slot; null while nothing forbids it. */
-    private volatile NotRunReason mWithheld;
+    private volatile NotRunReason mSendRejection;
 
     private volatile boolean mAbandoned;
-    private volatile boolean mLeaving;
+    private volatile boolean mDraining;
 
     private enum Phase {
         /** In the queue. */
@@ -92,68 +92,69 @@
             Response response,
             Callback callback,
             HealthGate.RiskTolerance caution,
-            RetryPass pass) {
-        mCaution = caution;
-        mArrivedAtMillis = context.ticker().millis();
-        mTime =
-                HopTime.of(
+            RetryCharge pass) {
+        mRiskTolerance = caution;
+        mArrivedMillis = context.ticker().millis();
+        mRunDeadline =
+                RunDeadline.of(
                         request.getHeaders().getLongField(HeaderNames.TIMEOUT_MILLIS),
                         ticket.deadlineMillis(),
-                        mArrivedAtMillis);
-        mPass = pass;
+                        mArrivedMillis);
+        mRetryCharge = pass;
         mContext = context;
         mGate = gate;
         mIdentity = new RunIdentity(request, context.dialect());
-        mWatch = new RunWatch(context, gate, mIdentity);
-        mCheck = new SendCheck(context, gate, mIdentity);
+        mRunMonitor = new RunMonitor(context, gate, mIdentity);
+        mSendCheck = new SendCheck(context, gate, mIdentity);
         mAttempt = attempt;
         mTicket = ticket;
         mRequest = request;
         mResponse = response;
         mAcknowledgements =
-                new Acknowledgements(
+                new AcknowledgementSender(
                         context.scheduler(),
                         response,
-                        this::hasBegunAnswer,
-                        context.observer()::beforeAcknowledgement);
+                        this::hasAnswerBegun,
+                        context.observer()::addAcknowledgementHeaders);
         mCallback = callback;
     }
 
-    private boolean hasBegunAnswer() {
+    private boolean hasAnswerBegun() {
         Phase phase = mPhase.get();
         return phase == Phase.ANSWERING || phase == Phase.ENDED;
     }
 
     /** Tells the entry that the request is here, and goes to the gate. */
-    void begin() {
-        HangUpEndPoint.watch(mRequest, this::entryGone);
-        mAcknowledgements.tell();
-        mAcknowledgements.after(() -> mIdentity.whenIdentified(mContext.quarantine(), this::enter));
+    void start() {
+        HangUpEndPoint.watch(mRequest, this::onEntryDisconnected);
+        mAcknowledgements.send();
+        mAcknowledgements.runAfterPendingWrite(
+                () -> mIdentity.whenIdentified(mContext.quarantine(), this::submit));
     }
 
     /** Takes the request out of the queue after a fence; a started one goes on. */
-    void fenced() {
+    void onFenced() {
         if (mGate.cancel(mTicket) && mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
             endNotRun(NotRunReason.FENCED);
         }
     }
 
-    private void enter() {
-        if (heldMillis() > 0 && mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
+    private void submit() {
+        if (quarantineMillis() > 0 && mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
             mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
             endNotRun(NotRunReason.QUARANTINED);
             return;
         }
-        mGate.enter(mTicket, this);
-        if (mLeaving) {
+        mGate.submit(mTicket, this);
+        if (mDraining) {
             // The node began to stop between the arrival and the queue.
-            leaving();
+            onDraining();
         }
     }
 
     /** Takes the request out of the queue because the node stops; one at the target goes on. */
-    void leaving() {
-        mLeaving = true;
+    void onDraining() {
+        mDraining = true;
         if (mGate.cancel(mTicket) && mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
             mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
             endNotRun(NotRunReason.LEAVING);
@@ -161,15 +162,15 @@
     }
 
     // The entry closes its connection when its caller has hung up or its deadline has passed.
-    private void entryGone() {
+    private void onEntryDisconnected() {
         mContext.ledger().fence(mAttempt, mContext.ticker().millis());
-        abandoned();
+        onAbandoned();
     }
 
     /** Gives the request up because its entry has; a started one is cancelled at the target. */
-    void abandoned() {
+    void onAbandoned() {
         mAbandoned = true;
-        fenced();
+        onFenced();
         UpstreamExchange exchange = mExchange;
         if (exchange != null) {
             exchange.abort(new TimeoutException("the entry gave the attempt up"));
@@ -178,42 +179,47 @@
 
     @Override
     public void admitted() {
-        mSlotAtMillis = mContext.ticker().millis();
-        mView = mContext.observer().siteView();
-        NotRunReason refused = mCheck.atSlot(mCaution, mPass);
+        mAdmittedMillis = mContext.ticker().millis();
+        mSiteView = mContext.observer().siteView();
+        NotRunReason refused = mSendCheck.checkAdmitted(mRiskTolerance, mRetryCharge);
         if (refused != null) {
-            refuseAtSlot(refused);
+            rejectAdmitted(refused);
             return;
         }
         if (!mPhase.compareAndSet(Phase.WAITING, Phase.SENDING)) {
-            mGate.leave(mTicket, RunResult.UNSENT, 0);
+            mGate.release(mTicket, RunResult.UNSENT, 0);
             return;
         }
-        mContext.observer().runStarted(requestId());
-        long leftMillis = mTime.leftMillis(mContext.ticker().millis());
-        mTimeout = mContext.scheduler().schedule(this::timedOut, leftMillis, TimeUnit.MILLISECONDS);
-        mWatch.begin(mTicket.workKind(), mGate.usefulMillis(mTicket), leftMillis, this::hung);
+        mContext.observer().onRunStarted(requestId());
+        long leftMillis = mRunDeadline.remainingMillis(mContext.ticker().millis());
+        mTimeoutTask =
+                mContext.scheduler().schedule(this::onTimeout, leftMillis, TimeUnit.MILLISECONDS);
+        mRunMonitor.start(
+                mTicket.workKind(),
+                mGate.softDeadlineRemainingMillis(mTicket),
+                leftMillis,
+                this::abortForFailover);
         mExchange =
                 UpstreamExchange.send(
-                        TargetRequests.create(
+                        TargetRequestFactory.create(
                                 mContext, mGate, mTicket, mRequest, mIdentity, leftMillis),
                         this);
         if (mAbandoned) {
             // Given up between the slot and the sending, when there was nothing yet to abort.
-            abandoned();
+            onAbandoned();
         }
     }
 
-    private void refuseAtSlot(NotRunReason reason) {
+    private void rejectAdmitted(NotRunReason reason) {
         if (mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
             mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
             endNotRun(reason);
         }
-        mGate.leave(mTicket, RunResult.UNSENT, 0);
+        mGate.release(mTicket, RunResult.UNSENT, 0);
     }
 
     @Override
-    public void refused(Rejection refusal) {
+    public void rejected(Rejection refusal) {
         if (mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
             mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
             endNotRun(reasonOf(refusal.reason()), refusal.retryAfterMillis());
@@ -231,26 +237,26 @@
 
     @Override
     public boolean onBegin() {
-        mSentAtNanos = mContext.ticker().nanos();
-        mSentAtMillis = mContext.ticker().millis();
-        mWithheld = mCheck.beforeFirstByte(mAttempt);
-        if (mWithheld == null) {
-            logStart();
+        mSentNanos = mContext.ticker().nanos();
+        mSentMillis = mContext.ticker().millis();
+        mSendRejection = mSendCheck.checkBeforeFirstByte(mAttempt);
+        if (mSendRejection == null) {
+            logRunStarted();
         }
-        return mWithheld == null;
+        return mSendRejection == null;
     }
 
-    private void logStart() {
+    private void logRunStarted() {
         mContext.log()
                 .started(
-                        new RunLog.Started(
+                        new TargetRunLog.Started(
                                 requestId(),
                                 mIdentity.fingerprint().toString(),
                                 mGate.target().id(),
                                 mAttempt.toString(),
-                                mView,
-                                mSlotAtMillis - mArrivedAtMillis,
-                                mContext.ticker().millis() - mSlotAtMillis));
+                                mSiteView,
+                                mAdmittedMillis - mArrivedMillis,
+                                mContext.ticker().millis() - mAdmittedMillis));
     }
 
     @Override
@@ -259,9 +265,9 @@
             return;
         }
         if (failure.progress() == UpstreamExchange.Progress.NOT_SENT) {
-            NotRunReason withheld = mWithheld;
+            NotRunReason withheld = mSendRejection;
             boolean isUnstarted = mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
-            leaveGate(
+            releaseSlot(
                     withheld == null ? RunResult.FAILED : RunResult.UNSENT,
                     withheld == null ? ObservedOutcome.TARGET_ERROR : ObservedOutcome.CANCELLED);
             if (!isUnstarted) {
@@ -270,23 +276,23 @@
             endNotRun(withheld == null ? NotRunReason.TARGET_UNREACHABLE : withheld);
             return;
         }
-        endBroken(true).whenComplete((told, ignored) -> answerUnknown());
+        endBroken(true).whenComplete((told, ignored) -> writeUnknown());
     }
 
     // Told at once, the entry would send the request to its next target before anybody knows that
     // this one has ended.
-    private void answerUnknown() {
-        boolean held = heldMillis() > 0;
-        payForNext(mCaution == HealthGate.RiskTolerance.MAY_TRY && !held);
-        mContext.observer().beforeAnswer(mGate.target(), mResponse.getHeaders());
+    private void writeUnknown() {
+        boolean held = quarantineMillis() > 0;
+        prepayRetry(mRiskTolerance == HealthGate.RiskTolerance.MAY_TRY && !held);
+        mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
         Outcome.Unknown outcome =
                 new Outcome.Unknown(held ? UnknownReason.QUARANTINED : UnknownReason.STARTED);
-        mAcknowledgements.after(() -> Outcomes.write(mResponse, mCallback, outcome));
+        mAcknowledgements.runAfterPendingWrite(() -> Outcomes.write(mResponse, mCallback, outcome));
     }
 
     /** Pays for the next run of a request that this target failed, if it may have one. */
-    private void payForNext(boolean mayRunAgain) {
-        if (mayRunAgain && (mPaidNext || mPass.tryPayNext())) {
+    private void prepayRetry(boolean mayRunAgain) {
+        if (mayRunAgain && (mRetryPrepaid || mRetryCharge.tryPrepayRetry())) {
             mResponse.getHeaders().put(HeaderNames.RETRY_PAID, "1");
         }
     }
@@ -302,33 +308,33 @@
                 mContext.dialect()
                         .kindOf(mRequest.getHeaders(), answer.getStatus(), answer.getHeaders());
         if (kind == SiteDialect.AnswerKind.ANSWER || kind == SiteDialect.AnswerKind.SHED) {
-            takeNotice(kind, mContext.dialect().noticeOf(answer.getHeaders()));
+            handleNotice(kind, mContext.dialect().noticeOf(answer.getHeaders()));
         }
         if (kind != SiteDialect.AnswerKind.ANSWER) {
             endWithoutAnswer(kind, answer, body);
             return;
         }
         AnswerStream.copyHead(answer, mResponse);
-        payForNext(
-                mCaution == HealthGate.RiskTolerance.MAY_TRY
+        prepayRetry(
+                mRiskTolerance == HealthGate.RiskTolerance.MAY_TRY
                         && HttpStatus.isServerError(answer.getStatus()));
         mResponse.getHeaders().put(Attempt.HEADER, mAttempt.toString());
-        if (HttpStatus.isServerError(answer.getStatus()) && hasLostCall()) {
+        if (HttpStatus.isServerError(answer.getStatus()) && hasFailedCall()) {
             mResponse.getHeaders().put(HeaderNames.CALL_LOST, "1");
         }
-        mGate.tell(mResponse.getHeaders());
-        mContext.observer().beforeAnswer(mGate.target(), mResponse.getHeaders());
+        mGate.addHeaders(mResponse.getHeaders());
+        mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
         WatchedSource watched = new WatchedSource(body);
         Callback whenCopied =
                 Callback.from(
-                        () -> answered(answer.getStatus()),
-                        cause -> answerBroken(watched.hasFailed(), cause));
-        mAcknowledgements.after(
+                        () -> onAnswerCompleted(answer.getStatus()),
+                        cause -> onAnswerBroken(watched.hasFailed(), cause));
+        mAcknowledgements.runAfterPendingWrite(
                 () -> AnswerStream.copyBody(answer, watched, mResponse, whenCopied));
     }
 
-    private void takeNotice(SiteDialect.AnswerKind kind, TargetNotice notice) {
-        mGate.told(notice, kind == SiteDialect.AnswerKind.ANSWER, mSentAtMillis);
+    private void handleNotice(SiteDialect.AnswerKind kind, TargetNotice notice) {
+        mGate.handleNotice(notice, kind == SiteDialect.AnswerKind.ANSWER, mSentMillis);
         if (notice.leaving()) {
             mContext.observer().onTargetLeaving(mGate.target());
         }
@@ -343,9 +349,10 @@
             body.fail(new IllegalStateException("an answer to another request"));
             endBroken(true);
             mContext.metrics().foreignAnswers().inc();
-            mContext.observer().beforeAnswer(mGate.target(), mResponse.getHeaders());
+            mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
             Outcome.Unknown lost = new Outcome.Unknown(UnknownReason.ANSWER_LOST);
-            mAcknowledgements.after(() -> Outcomes.write(mResponse, mCallback, lost));
+            mAcknowledgements.runAfterPendingWrite(
+                    () -> Outcomes.write(mResponse, mCallback, lost));
             return;
         }
         mContext.ledger().completed(mAttempt, answer.getStatus(), mContext.ticker().millis());
@@ -354,20 +361,20 @@
         if (!shed) {
             mGate.markReplaced();
         }
-        payForNext(mCaution != HealthGate.RiskTolerance.NONE);
-        leaveGate(
+        prepayRetry(mRiskTolerance != HealthGate.RiskTolerance.NONE);
+        releaseSlot(
                 shed ? RunResult.SHED : RunResult.CANCELLED,
                 shed ? ObservedOutcome.SHED : ObservedOutcome.CANCELLED);
         endNotRun(shed ? NotRunReason.TARGET_SHED : NotRunReason.TARGET_REPLACED, 0);
     }
 
-    private void answered(int status) {
+    private void onAnswerCompleted(int status) {
         mPhase.set(Phase.ENDED);
         mContext.ledger().completed(mAttempt, status, mContext.ticker().millis());
         boolean shed = status == HttpStatus.SERVICE_UNAVAILABLE_503;
         boolean error = HttpStatus.isServerError(status);
-        ObservedOutcome seen = error ? errorSeen() : ObservedOutcome.SUCCESS;
-        leaveGate(resultOf(shed, error), shed ? ObservedOutcome.SHED : seen);
+        ObservedOutcome seen = error ? errorOutcome() : ObservedOutcome.SUCCESS;
+        releaseSlot(resultOf(shed, error), shed ? ObservedOutcome.SHED : seen);
         if (status < FIRST_FAILURE_STATUS) {
             mContext.quarantine().recordSuccess(mIdentity.fingerprint());
         }
@@ -387,19 +394,19 @@
 
     // A target whose call to another service failed has to fail its own request. Taken for a sick
     // one, it would be avoided, and one bad service would make all that call it look sick.
-    private ObservedOutcome errorSeen() {
-        return hasLostCall() ? ObservedOutcome.CANCELLED : ObservedOutcome.TARGET_ERROR;
+    private ObservedOutcome errorOutcome() {
+        return hasFailedCall() ? ObservedOutcome.CANCELLED : ObservedOutcome.TARGET_ERROR;
     }
 
-    private boolean hasLostCall() {
-        return mContext.observer().hasLostCall(requestId());
+    private boolean hasFailedCall() {
+        return mContext.observer().hasFailedCall(requestId());
     }
 
     private String requestId() {
         return mIdentity.id();
     }
 
-    private void answerBroken(boolean byTarget, Throwable cause) {
+    private void onAnswerBroken(boolean byTarget, Throwable cause) {
         mPhase.set(Phase.ENDED);
         endBroken(byTarget);
         mCallback.failed(cause);
@@ -409,12 +416,12 @@
         CompletableFuture<Void> told = CompletableFuture.completedFuture(null);
         mContext.ledger().broken(mAttempt, mContext.ticker().millis());
         if (mTimedOut) {
-            leaveGate(RunResult.CANCELLED, ObservedOutcome.TIMEOUT);
-        } else if (byTarget && !mAbandoned && !mPaidNext) {
-            leaveGate(RunResult.FAILED, ObservedOutcome.TARGET_ERROR);
-            told = mWatch.broken();
+            releaseSlot(RunResult.CANCELLED, ObservedOutcome.TIMEOUT);
+        } else if (byTarget && !mAbandoned && !mRetryPrepaid) {
+            releaseSlot(RunResult.FAILED, ObservedOutcome.TARGET_ERROR);
+            told = mRunMonitor.reportBroken();
         } else {
-            leaveGate(RunResult.CANCELLED, ObservedOutcome.CANCELLED);
+            releaseSlot(RunResult.CANCELLED, ObservedOutcome.CANCELLED);
         }
         mContext.metrics().unknown().inc();
         stopTimers();
@@ -422,21 +429,21 @@
     }
 
     // A target that hangs would hold the request to its deadline, though others could serve it.
-    private void hung() {
+    private void abortForFailover() {
         UpstreamExchange exchange = mExchange;
-        if (mCaution != HealthGate.RiskTolerance.MAY_TRY
+        if (mRiskTolerance != HealthGate.RiskTolerance.MAY_TRY
                 || exchange == null
                 || mPhase.get() != Phase.SENDING
-                || mPaidNext
-                || !mPass.tryPayNextOfMany()) {
+                || mRetryPrepaid
+                || !mRetryCharge.tryPrepayEarlyRetry()) {
             return;
         }
-        mPaidNext = true;
+        mRetryPrepaid = true;
         mContext.metrics().hung().inc();
         exchange.abort(new TimeoutException("the target hangs"));
     }
 
-    private void timedOut() {
+    private void onTimeout() {
         mTimedOut = true;
         UpstreamExchange exchange = mExchange;
         if (exchange != null) {
@@ -444,21 +451,21 @@
         }
     }
 
-    private void leaveGate(RunResult result, ObservedOutcome outcome) {
-        long serviceNanos = Math.max(0, mContext.ticker().nanos() - mSentAtNanos);
+    private void releaseSlot(RunResult result, ObservedOutcome outcome) {
+        long serviceNanos = Math.max(0, mContext.ticker().nanos() - mSentNanos);
         long serviceMicros = TimeUnit.NANOSECONDS.toMicros(serviceNanos);
-        mContext.metrics().service().update(serviceNanos, TimeUnit.NANOSECONDS);
-        mContext.observer().runEnded(requestId());
-        mWatch.end(outcome, serviceMicros);
-        mGate.leave(mTicket, result, serviceMicros);
+        mContext.metrics().serviceTime().update(serviceNanos, TimeUnit.NANOSECONDS);
+        mContext.observer().onRunEnded(requestId());
+        mRunMonitor.end(outcome, serviceMicros);
+        mGate.release(mTicket, result, serviceMicros);
     }
 
-    private long heldMillis() {
+    private long quarantineMillis() {
         return mContext.quarantine().remainingQuarantineMillis(mIdentity.fingerprint());
     }
 
     private void endNotRun(NotRunReason reason) {
-        endNotRun(reason, reason == NotRunReason.QUARANTINED ? heldMillis() : 0);
+        endNotRun(reason, reason == NotRunReason.QUARANTINED ? quarantineMillis() : 0);
     }
 
     private void endNotRun(NotRunReason reason, long retryAfterMillis) {
@@ -467,15 +474,15 @@
         if (reason == NotRunReason.QUARANTINED) {
             mContext.metrics().quarantined().inc();
         }
-        mGate.tell(mResponse.getHeaders());
-        mContext.observer().beforeAnswer(mGate.target(), mResponse.getHeaders());
+        mGate.addHeaders(mResponse.getHeaders());
+        mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
         Outcome.NotRun outcome = new Outcome.NotRun(reason, retryAfterMillis);
-        mAcknowledgements.after(() -> Outcomes.write(mResponse, mCallback, outcome));
+        mAcknowledgements.runAfterPendingWrite(() -> Outcomes.write(mResponse, mCallback, outcome));
     }
 
     private void stopTimers() {
         HangUpEndPoint.release(mRequest);
-        cancel(mTimeout);
+        cancel(mTimeoutTask);
         mAcknowledgements.stop();
     }
 
--- a/src/main/java/org/apricotgauge/target/LimitReport.java
+++ b/src/main/java/org/apricotgauge/target/LimitReporter.java
@@ -14,10 +14,13 @@
  * }</pre>
  *
  * @param log takes a line for each change
- * @param limited counts the targets that have a limit now
+ * @param limitedTargets counts the targets that have a limit now
  * @param onChange takes the limit that a target names from now on; nothing if it names none
  */
-record LimitReport(RunLog log, Counter limited, BiConsumer<Target, Optional<StartLimit>> onChange) {
+record LimitReporter(
+        TargetRunLog log,
+        Counter limitedTargets,
+        BiConsumer<Target, Optional<StartLimit>> onChange) {
 
     /**
      * Tells that a target names another limit than before.
@@ -26,14 +29,14 @@
      * @param before what it named until now
      */
     void changed(Target target, Optional<StartLimit> limit, Optional<StartLimit> before) {
-        limited.inc(count(limit) - count(before));
+        limitedTargets.inc(count(limit) - count(before));
         log.limitChanged(target, limit, before);
         onChange.accept(target, limit);
     }
 
     /** Tells that a target names something as its limit that is none; the known one holds. */
     void unreadable(Target target, String text) {
-        log.unreadableLimit(target, text);
+        log.limitUnreadable(target, text);
     }
 
     private static int count(Optional<StartLimit> limit) {
--- a/src/main/java/org/apricotgauge/target/RetryPass.java
+++ b/src/main/java/org/apricotgauge/target/RetryCharge.java
@@ -20,24 +20,24 @@
  * healthy ones are spent: so the guard whose target fails a request pays for its next run.
  * Thread-safe.
  */
-final class RetryPass {
+final class RetryCharge {
     private final Kind mKind;
     private final RetryBudget mBudget;
     private final Ticker mTicker;
-    private final Runnable mOnRepeat;
+    private final Runnable mOnRetry;
 
     /** What the request is to its service. */
     private enum Kind {
         /** The first run of a caller's request; retries are a share of these. */
-        FIRST,
+        FIRST_RUN,
         /** The first run of a call; what targets send each other is no traffic of callers. */
-        CALL,
+        NESTED_CALL,
         /** A call of a repeated run. */
-        CALL_OF_REPEAT,
+        NESTED_CALL_OF_RETRY,
         /** A further run. */
-        REPEAT,
+        RETRY,
         /** A further run that the guard of the one before has paid for. */
-        PAID_REPEAT
+        PREPAID_RETRY
     }
 
     /**
@@ -48,34 +48,34 @@
      * @param ticker present time
      * @param onRepeat called when a further run starts
      */
-    RetryPass(HttpFields headers, RetryBudget budget, Ticker ticker, Runnable onRepeat) {
+    RetryCharge(HttpFields headers, RetryBudget budget, Ticker ticker, Runnable onRepeat) {
         mKind = kindOf(headers);
         mBudget = budget;
         mTicker = ticker;
-        mOnRepeat = onRepeat;
+        mOnRetry = onRepeat;
     }
 
     private static Kind kindOf(HttpFields headers) {
         String repeat = headers.get(HeaderNames.REPEAT);
         if (HeaderNames.REPEAT_PAID.equals(repeat)) {
-            return Kind.PAID_REPEAT;
+            return Kind.PREPAID_RETRY;
         }
         if (HeaderNames.REPEAT_PARENT.equals(repeat)) {
-            return Kind.CALL_OF_REPEAT;
+            return Kind.NESTED_CALL_OF_RETRY;
         }
         if (repeat != null) {
-            return Kind.REPEAT;
+            return Kind.RETRY;
         }
-        return headers.contains(HeaderNames.CALL) ? Kind.CALL : Kind.FIRST;
+        return headers.contains(HeaderNames.CALL) ? Kind.NESTED_CALL : Kind.FIRST_RUN;
     }
 
     /** Asked just before the request goes to its target; false if the budget is spent. */
-    boolean tryPass() {
+    boolean tryCharge() {
         switch (mKind) {
-            case FIRST -> mBudget.onRequest();
+            case FIRST_RUN -> mBudget.onRequest();
             // Turned away, it would fail a run that has been paid for; so it is charged afterwards.
-            case CALL_OF_REPEAT -> mBudget.charge();
-            case REPEAT -> {
+            case NESTED_CALL_OF_RETRY -> mBudget.charge();
+            case RETRY -> {
                 if (!mBudget.tryRetry(mTicker.millis())) {
                     return false;
                 }
@@ -84,8 +84,8 @@
                 // Costs nothing here.
             }
         }
-        if (mKind == Kind.REPEAT || mKind == Kind.PAID_REPEAT) {
-            mOnRepeat.run();
+        if (mKind == Kind.RETRY || mKind == Kind.PREPAID_RETRY) {
+            mOnRetry.run();
         }
         return true;
     }
@@ -94,12 +94,12 @@
      * Pays for another run of a request that has not failed yet; false unless enough is left for
      * those that have.
      */
-    boolean tryPayNextOfMany() {
+    boolean tryPrepayEarlyRetry() {
         return mBudget.tryRetryIfHalfFull(mTicker.millis());
     }
 
     /** Pays for another run of the request; false if the budget is spent. */
-    boolean tryPayNext() {
+    boolean tryPrepayRetry() {
         return mBudget.tryRetry(mTicker.millis());
     }
 }
--- a/src/main/java/org/apricotgauge/target/HopTime.java
+++ b/src/main/java/org/apricotgauge/target/RunDeadline.java
@@ -14,9 +14,9 @@
  * started may use all the time there is: cut at the latest start, an answer of the last tenth of a
  * second would be thrown away, and a stopping node would seem to give up work in flight.
  *
- * @param untilMillis when the entry's deadline passes, by the guard's clock
+ * @param deadlineMillis when the entry's deadline passes, by the guard's clock
  */
-record HopTime(long untilMillis) {
+record RunDeadline(long deadlineMillis) {
 
     /**
      * Reads the time of an attempt that arrives.
@@ -25,13 +25,13 @@
      * @param latestStartMillis the latest start, by the guard's clock
      * @param nowMillis the guard's clock
      */
-    static HopTime of(long toldMillis, long latestStartMillis, long nowMillis) {
+    static RunDeadline of(long toldMillis, long latestStartMillis, long nowMillis) {
         Checks.inRange("nowMillis", nowMillis, Long.MIN_VALUE / 2, Long.MAX_VALUE / 2);
-        return new HopTime(toldMillis > 0 ? nowMillis + toldMillis : latestStartMillis);
+        return new RunDeadline(toldMillis > 0 ? nowMillis + toldMillis : latestStartMillis);
     }
 
     /** Returns the time left, at least one millisecond. */
-    long leftMillis(long nowMillis) {
-        return Math.max(1, untilMillis - nowMillis);
+    long remainingMillis(long nowMillis) {
+        return Math.max(1, deadlineMillis - nowMillis);
     }
 }
--- a/src/main/java/org/apricotgauge/target/RunIdentity.java
+++ b/src/main/java/org/apricotgauge/target/RunIdentity.java
@@ -15,19 +15,19 @@
 final class RunIdentity {
     private final String mId;
     private final Request mRequest;
-    private final long mHead;
-    private final BodyHash mBody = new BodyHash();
-    private final ReplayableBody mContent;
+    private final long mHeadHash;
+    private final BodyHash mBodyHash = new BodyHash();
+    private final ReplayableBody mReplayableBody;
 
     /** Reads the head of an attempt as an entry sent it. */
     RunIdentity(Request request, SiteDialect dialect) {
         String member = request.getHeaders().get(HeaderNames.MEMBER);
         mId = dialect.requestId(request.getHeaders());
         mRequest = request;
-        mContent = new ReplayableBody(request, 0);
-        mHead = Fingerprints.headOf(request, member == null ? Member.ANONYMOUS_ID : member);
+        mReplayableBody = new ReplayableBody(request, 0);
+        mHeadHash = Fingerprints.headOf(request, member == null ? Member.ANONYMOUS_ID : member);
         if (!Fingerprints.hasBody(request)) {
-            mBody.end();
+            mBodyHash.end();
         }
     }
 
@@ -37,13 +37,13 @@
 
     /** Returns the fingerprint, as far as the body has gone by. */
     Fingerprint fingerprint() {
-        return new Fingerprint(mHead, mBody.value());
+        return new Fingerprint(mHeadHash, mBodyHash.value());
     }
 
     /** Returns the body, which tells the fingerprint as it is read. */
     org.eclipse.jetty.client.Request.Content body() {
-        org.eclipse.jetty.client.Request.Content body = mContent.open();
-        return mBody.isComplete() ? body : new HashedBody(body, mBody);
+        org.eclipse.jetty.client.Request.Content body = mReplayableBody.open();
+        return mBodyHash.isComplete() ? body : new HashedBody(body, mBodyHash);
     }
 
     /**
@@ -51,20 +51,20 @@
      * work in a crash; at once otherwise.
      */
     void whenIdentified(QuarantineTable quarantine, Runnable next) {
-        if (mBody.isComplete() || !quarantine.isSuspectHead(mHead)) {
+        if (mBodyHash.isComplete() || !quarantine.isSuspectHead(mHeadHash)) {
             next.run();
             return;
         }
         // A body that breaks off meanwhile fails the attempt that reads it next.
-        mContent.readAhead(mBody).whenComplete((read, failure) -> next.run());
+        mReplayableBody.readAhead(mBodyHash).whenComplete((read, failure) -> next.run());
     }
 
     /** Returns whether others with the same head are held, and this one's body is not known. */
     boolean isUnidentified(QuarantineTable quarantine) {
-        return !mBody.isComplete() && quarantine.isQuarantinedHead(mHead);
+        return !mBodyHash.isComplete() && quarantine.isQuarantinedHead(mHeadHash);
     }
 
-    BrokenRun broken() {
+    BrokenRun toBrokenRun() {
         return new BrokenRun(mId, fingerprint(), Fingerprints.nameOf(mRequest));
     }
 }
--- a/src/main/java/org/apricotgauge/target/RunWatch.java
+++ b/src/main/java/org/apricotgauge/target/RunMonitor.java
@@ -20,22 +20,22 @@
  * one that goes on for too long tells of a target that hangs, seconds before its deadline. How a
  * run ended is told once. Thread-safe.
  */
-final class RunWatch {
+final class RunMonitor {
     /** How often a run that is beyond its patience is looked at, in each patience. */
-    private static final int LOOKS = 4;
+    private static final int CHECKS_PER_TIMEOUT = 4;
 
     private final GuardContext mContext;
     private final TargetGate mGate;
     private final RunIdentity mIdentity;
-    private final AtomicBoolean mObserved = new AtomicBoolean();
+    private final AtomicBoolean mOutcomeReported = new AtomicBoolean();
     private volatile HealthGate.Run mRun;
     private volatile long mStartMillis;
-    private volatile long mUntilMillis;
+    private volatile long mMaxRunMillis;
     private volatile Scheduler.Task mHealthCheck;
     private volatile Scheduler.Task mHungCheck;
-    private volatile Scheduler.Task mOverdue;
+    private volatile Scheduler.Task mUnresponsiveCheck;
 
-    RunWatch(GuardContext context, TargetGate gate, RunIdentity identity) {
+    RunMonitor(GuardContext context, TargetGate gate, RunIdentity identity) {
         mContext = context;
         mGate = gate;
         mIdentity = identity;
@@ -49,51 +49,54 @@
      * @param leftMillis time left to the request's deadline
      * @param whenHung called when it is better off at another target; perhaps more than once
      */
-    void begin(String work, long usefulMillis, long leftMillis, Runnable whenHung) {
+    void start(String work, long usefulMillis, long leftMillis, Runnable whenHung) {
         long nowMillis = mContext.ticker().millis();
         HealthGate.Run run = mGate.health().started(work, nowMillis);
         mRun = run;
         mStartMillis = nowMillis;
-        mUntilMillis = leftMillis;
-        checkLater(run, 0);
+        mMaxRunMillis = leftMillis;
+        scheduleHealthCheck(run, 0);
         long patienceMillis = mGate.health().runTimeoutMillis(work, usefulMillis);
-        lookLater(patienceMillis, patienceMillis, whenHung);
-        long overdueMicros = mContext.observer().overdueMicros(mGate.target());
+        scheduleHungCheck(patienceMillis, patienceMillis, whenHung);
+        long overdueMicros = mContext.observer().unresponsiveAfterMicros(mGate.target());
         if (overdueMicros < TimeUnit.MILLISECONDS.toMicros(leftMillis)) {
-            mOverdue =
+            mUnresponsiveCheck =
                     mContext.scheduler()
                             .schedule(
-                                    () -> observe(ObservedOutcome.UNRESPONSIVE, overdueMicros),
+                                    () ->
+                                            reportOutcome(
+                                                    ObservedOutcome.UNRESPONSIVE, overdueMicros),
                                     overdueMicros,
                                     TimeUnit.MICROSECONDS);
         }
     }
 
-    private void lookLater(long atMillis, long patienceMillis, Runnable whenHung) {
-        if (atMillis >= mUntilMillis) {
+    private void scheduleHungCheck(long atMillis, long patienceMillis, Runnable whenHung) {
+        if (atMillis >= mMaxRunMillis) {
             return;
         }
         long passedMillis = mContext.ticker().millis() - mStartMillis;
         mHungCheck =
                 mContext.scheduler()
                         .schedule(
-                                () -> lookWhetherHung(atMillis, patienceMillis, whenHung),
+                                () -> checkHung(atMillis, patienceMillis, whenHung),
                                 Math.max(1, atMillis - passedMillis),
                                 TimeUnit.MILLISECONDS);
     }
 
-    private void lookWhetherHung(long atMillis, long patienceMillis, Runnable whenHung) {
+    private void checkHung(long atMillis, long patienceMillis, Runnable whenHung) {
         HealthGate.Run run = mRun;
-        if (mObserved.get()) {
+        if (mOutcomeReported.get()) {
             return;
         }
         HealthGate.TimeoutDiagnosis silence =
                 mGate.health().diagnoseTimeout(run, mContext.ticker().millis());
         if (silence == HealthGate.TimeoutDiagnosis.HUNG) {
-            observe(ObservedOutcome.UNRESPONSIVE, TimeUnit.MILLISECONDS.toMicros(atMillis));
+            reportOutcome(ObservedOutcome.UNRESPONSIVE, TimeUnit.MILLISECONDS.toMicros(atMillis));
         } else {
-            tellHealth();
-            lookLater(atMillis + patienceMillis / LOOKS, patienceMillis, whenHung);
+            notifyHealth();
+            scheduleHungCheck(
+                    atMillis + patienceMillis / CHECKS_PER_TIMEOUT, patienceMillis, whenHung);
         }
         if (silence != HealthGate.TimeoutDiagnosis.SLOW) {
             whenHung.run();
@@ -104,8 +107,8 @@
     void end(ObservedOutcome outcome, long serviceMicros) {
         cancel(mHealthCheck);
         cancel(mHungCheck);
-        cancel(mOverdue);
-        observe(outcome, serviceMicros);
+        cancel(mUnresponsiveCheck);
+        reportOutcome(outcome, serviceMicros);
     }
 
     /**
@@ -113,56 +116,57 @@
      *
      * @return completes once it is known whether the target has ended
      */
-    CompletableFuture<Void> broken() {
-        return mContext.exits().broken(mGate.target(), mIdentity.broken());
+    CompletableFuture<Void> reportBroken() {
+        return mContext.exitDetector().reportBrokenRun(mGate.target(), mIdentity.toBrokenRun());
     }
 
-    private void checkLater(HealthGate.Run run, long passedMillis) {
+    private void scheduleHealthCheck(HealthGate.Run run, long passedMillis) {
         long checkMillis = run.checkMillis();
-        if (checkMillis < mUntilMillis) {
+        if (checkMillis < mMaxRunMillis) {
             mHealthCheck =
                     mContext.scheduler()
                             .schedule(
-                                    () -> stillRuns(run),
+                                    () -> reportStillRunning(run),
                                     Math.max(1, checkMillis - passedMillis),
                                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void stillRuns(HealthGate.Run run) {
-        if (!mObserved.get()) {
+    private void reportStillRunning(HealthGate.Run run) {
+        if (!mOutcomeReported.get()) {
             long nowMillis = mContext.ticker().millis();
             mGate.health().stillRunning(run, nowMillis);
-            tellHealth();
-            checkLater(run, nowMillis - mStartMillis);
+            notifyHealth();
+            scheduleHealthCheck(run, nowMillis - mStartMillis);
         }
     }
 
-    private void observe(ObservedOutcome outcome, long serviceMicros) {
-        if (!mObserved.compareAndSet(false, true)) {
+    private void reportOutcome(ObservedOutcome outcome, long serviceMicros) {
+        if (!mOutcomeReported.compareAndSet(false, true)) {
             return;
         }
         switch (outcome) {
-            case SUCCESS -> showedHealth((run, now) -> mGate.health().ended(run, false, now));
-            case TARGET_ERROR -> showedHealth((run, now) -> mGate.health().ended(run, true, now));
-            case TIMEOUT, UNRESPONSIVE -> showedHealth(mGate.health()::endedWithoutAnswer);
+            case SUCCESS -> updateHealth((run, now) -> mGate.health().ended(run, false, now));
+            case TARGET_ERROR -> updateHealth((run, now) -> mGate.health().ended(run, true, now));
+            case TIMEOUT, UNRESPONSIVE -> updateHealth(mGate.health()::endedWithoutAnswer);
             default -> {
                 // Load, the path or the caller: nothing about the target's health.
             }
         }
-        mContext.observer().observed(mGate.target(), outcome, serviceMicros);
+        mContext.observer().onOutcome(mGate.target(), outcome, serviceMicros);
     }
 
-    private void showedHealth(ObjLongConsumer<HealthGate.Run> evidence) {
+    private void updateHealth(ObjLongConsumer<HealthGate.Run> evidence) {
         HealthGate.Run run = mRun;
         if (run != null) {
             evidence.accept(run, mContext.ticker().millis());
-            tellHealth();
+            notifyHealth();
         }
     }
 
-    private void tellHealth() {
-        mContext.observer().healthSeen(mGate.target(), mGate.healthTold(), mGate.loadPermille());
+    private void notifyHealth() {
+        mContext.observer()
+                .onHealthObserved(mGate.target(), mGate.healthReport(), mGate.loadPermille());
     }
 
     private static void cancel(Scheduler.Task task) {
--- a/src/main/java/org/apricotgauge/target/SendCheck.java
+++ b/src/main/java/org/apricotgauge/target/SendCheck.java
@@ -29,15 +29,15 @@
      * @param caution how much of a risk it may run
      * @param pass pays for it if it was sent before
      */
-    NotRunReason atSlot(HealthGate.RiskTolerance caution, RetryPass pass) {
-        NotRunReason unfit = targetUnfit();
+    NotRunReason checkAdmitted(HealthGate.RiskTolerance caution, RetryCharge pass) {
+        NotRunReason unfit = checkTarget();
         if (unfit != null) {
             return unfit;
         }
         if (!mGate.health().mayStart(caution, mContext.ticker().millis())) {
             return NotRunReason.TARGET_SUSPECT;
         }
-        return pass.tryPass() ? null : NotRunReason.RETRIES_SPENT;
+        return pass.tryCharge() ? null : NotRunReason.RETRIES_SPENT;
     }
 
     /**
@@ -47,8 +47,8 @@
      * said that it leaves, and would get work after the time for which it serves on; the third
      * target may have ended under another copy of the request; or a fence was answered "not run".
      */
-    NotRunReason beforeFirstByte(Attempt attempt) {
-        NotRunReason unfit = targetUnfit();
+    NotRunReason checkBeforeFirstByte(Attempt attempt) {
+        NotRunReason unfit = checkTarget();
         if (unfit != null) {
             return unfit;
         }
@@ -61,10 +61,10 @@
         return mContext.ledger().started(attempt) ? null : NotRunReason.FENCED;
     }
 
-    private NotRunReason targetUnfit() {
-        if (!mContext.observer().isSiteCurrent()) {
+    private NotRunReason checkTarget() {
+        if (!mContext.observer().isSiteViewFresh()) {
             return NotRunReason.STATE_UNCONFIRMED;
         }
-        return mContext.takesWork().test(mGate.target()) ? null : NotRunReason.TARGET_LEAVING;
+        return mContext.acceptsRequests().test(mGate.target()) ? null : NotRunReason.TARGET_LEAVING;
     }
 }
--- a/src/main/java/org/apricotgauge/target/TargetGate.java
+++ b/src/main/java/org/apricotgauge/target/TargetGate.java
@@ -38,34 +38,34 @@
     private final Target mTarget;
     private final URI mUri;
     private final AdmissionQueue mQueue;
-    private final TargetLimit mLimit;
+    private final TargetLimitTracker mLimit;
     private final Ticker mTicker;
     private final Runnable mOnQueued;
     private volatile boolean mReplaced;
-    private volatile boolean mSaysItLeaves;
+    private volatile boolean mLeaving;
     private final HealthGate mHealth = new HealthGate();
-    private final ConcurrentMap<Long, Work> mWaiting = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Long, AdmissionListener> mWaiting = new ConcurrentHashMap<>();
 
     /** Something that needs a slot. */
-    interface Work {
+    interface AdmissionListener {
         /** Called once the work has a slot; it must leave the gate once. */
         void admitted();
 
         /** Called once the work will get no slot. */
-        void refused(Rejection refusal);
+        void rejected(Rejection refusal);
     }
 
     TargetGate(
             Target target,
             AdmissionConfig.SlotUse use,
             Ticker ticker,
-            LimitReport limits,
+            LimitReporter limits,
             Runnable onQueued) {
         mOnQueued = onQueued;
         mTarget = target;
         mUri = Hosts.uriOf(new Address(target.host(), target.port()));
         mQueue = new AdmissionQueue(AdmissionConfig.forSlots(target.slots(), use));
-        mLimit = new TargetLimit(target, mQueue, limits);
+        mLimit = new TargetLimitTracker(target, mQueue, limits);
         mTicker = ticker;
     }
 
@@ -93,14 +93,14 @@
      * @param ran whether the target ran the request
      * @param sentMillis when the request that it answers was sent
      */
-    void told(TargetNotice notice, boolean ran, long sentMillis) {
-        mSaysItLeaves |= notice.leaving();
-        apply(mLimit.told(notice, ran, sentMillis, mTicker.millis()));
+    void handleNotice(TargetNotice notice, boolean ran, long sentMillis) {
+        mLeaving |= notice.leaving();
+        apply(mLimit.handleNotice(notice, ran, sentMillis, mTicker.millis()));
     }
 
     /** Takes a limit that an entry was told by the target. */
-    void heardLimit(StartLimit limit) {
-        mLimit.heard(limit, mTicker.millis());
+    void handleEntryLimit(StartLimit limit) {
+        mLimit.handleEntryLimit(limit, mTicker.millis());
     }
 
     HealthGate health() {
@@ -108,7 +108,7 @@
     }
 
     /** Returns how likely the target is to be sick, as others are told. */
-    DegradationEstimate.Report healthTold() {
+    DegradationEstimate.Report healthReport() {
         long nowMillis = mTicker.millis();
         DegradationEstimate.Report told = mHealth.estimate(nowMillis).toReport(nowMillis);
         return mReplaced
@@ -117,7 +117,7 @@
                 : told;
     }
 
-    void enter(Ticket ticket, Work work) {
+    void submit(Ticket ticket, AdmissionListener work) {
         // Noted before it is offered: a slot may come free, on another thread, before offer
         // returns.
         mWaiting.put(ticket.id(), work);
@@ -125,19 +125,19 @@
         if (offer instanceof AdmissionDecision.Admitted) {
             admit(ticket);
         } else if (offer instanceof AdmissionDecision.Rejected refused) {
-            refuse(refused.rejection());
+            reject(refused.rejection());
         } else if (offer instanceof AdmissionDecision.Queued queued) {
-            queued.displaced().forEach(this::refuse);
+            queued.displaced().forEach(this::reject);
             mOnQueued.run();
         }
     }
 
     /** Returns the time left in which the answer to a request is of full use, in milliseconds. */
-    long usefulMillis(Ticket ticket) {
+    long softDeadlineRemainingMillis(Ticket ticket) {
         return Math.max(1, ticket.softDeadlineMillis() - mTicker.millis());
     }
 
-    void leave(Ticket ticket, RunResult result, long serviceMicros) {
+    void release(Ticket ticket, RunResult result, long serviceMicros) {
         apply(mQueue.release(ticket, result, serviceMicros, mTicker.millis()));
     }
 
@@ -170,10 +170,10 @@
     }
 
     /** Adds to the head of an answer what entries should know of the target. */
-    void tell(HttpFields.Mutable headers) {
+    void addHeaders(HttpFields.Mutable headers) {
         headers.put(HeaderNames.LOAD_PERMILLE, loadPermille());
-        headers.put(HeaderNames.HEALTH, healthTold().toText());
-        if (mSaysItLeaves) {
+        headers.put(HeaderNames.HEALTH, healthReport().toText());
+        if (mLeaving) {
             headers.put(HeaderNames.TARGET_LEAVING, "1");
         }
         mLimit.inForce().ifPresent(limit -> headers.put(HeaderNames.TARGET_LIMIT, limit.toText()));
@@ -187,26 +187,26 @@
         return mQueue.inFlight();
     }
 
-    int limit() {
+    int concurrencyLimit() {
         return mQueue.concurrencyLimit();
     }
 
     private void apply(QueueChanges changes) {
-        changes.rejected().forEach(this::refuse);
+        changes.rejected().forEach(this::reject);
         changes.admitted().forEach(this::admit);
     }
 
     private void admit(Ticket ticket) {
-        Work work = mWaiting.remove(ticket.id());
+        AdmissionListener work = mWaiting.remove(ticket.id());
         if (work != null) {
             work.admitted();
         }
     }
 
-    private void refuse(Rejection refusal) {
-        Work work = mWaiting.remove(refusal.ticket().id());
+    private void reject(Rejection refusal) {
+        AdmissionListener work = mWaiting.remove(refusal.ticket().id());
         if (work != null) {
-            work.refused(refusal);
+            work.rejected(refusal);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/target/TargetGates.java
+++ b/src/main/java/org/apricotgauge/target/TargetGateRegistry.java
@@ -7,11 +7,11 @@
 import org.apricotgauge.time.Ticker;
 
 /** The gates of a VM's targets, made when first needed. Thread-safe. */
-final class TargetGates {
+final class TargetGateRegistry {
     private final ConcurrentMap<String, TargetGate> mGates = new ConcurrentHashMap<>();
-    private final AdmissionConfig.SlotUse mUse;
+    private final AdmissionConfig.SlotUse mSlotUse;
     private final Ticker mTicker;
-    private final LimitReport mLimits;
+    private final LimitReporter mLimitReporter;
     private final Runnable mOnQueued;
 
     /**
@@ -21,15 +21,16 @@
      * @param limits takes changes of the targets' limits
      * @param onQueued runs whenever a request has to wait at one of them
      */
-    TargetGates(AdmissionConfig.SlotUse use, Ticker ticker, LimitReport limits, Runnable onQueued) {
-        mLimits = limits;
-        mUse = use;
+    TargetGateRegistry(
+            AdmissionConfig.SlotUse use, Ticker ticker, LimitReporter limits, Runnable onQueued) {
+        mLimitReporter = limits;
+        mSlotUse = use;
         mOnQueued = onQueued;
         mTicker = ticker;
     }
 
     /** Returns the gate of a target; a new one if its slots or address changed. */
-    TargetGate of(Target target) {
+    TargetGate gateOf(Target target) {
         TargetGate gate = mGates.get(target.id());
         if (gate != null && gate.target().equals(target)) {
             return gate;
@@ -39,7 +40,8 @@
                 (id, old) ->
                         old != null && old.target().equals(target)
                                 ? old
-                                : new TargetGate(target, mUse, mTicker, mLimits, mOnQueued));
+                                : new TargetGate(
+                                        target, mSlotUse, mTicker, mLimitReporter, mOnQueued));
     }
 
     /** Refuses what can't be served in time any more; returns whether requests still wait. */
--- a/src/main/java/org/apricotgauge/target/TargetLimit.java
+++ b/src/main/java/org/apricotgauge/target/TargetLimitTracker.java
@@ -14,12 +14,12 @@
  * answers arrive in the order in which they were given: only one to a request that was sent after
  * the limit was last named shows that it is lifted. Thread-safe.
  */
-final class TargetLimit {
+final class TargetLimitTracker {
     private final Target mTarget;
     private final AdmissionQueue mQueue;
-    private final LimitReport mReport;
+    private final LimitReporter mReporter;
     private volatile StartLimit mLimit;
-    private long mNamedMillis;
+    private long mDeclaredAtMillis;
     private boolean mAnswered;
 
     /**
@@ -27,10 +27,10 @@
      *
      * @param report takes changes of the limit
      */
-    TargetLimit(Target target, AdmissionQueue queue, LimitReport report) {
+    TargetLimitTracker(Target target, AdmissionQueue queue, LimitReporter report) {
         mTarget = target;
         mQueue = queue;
-        mReport = report;
+        mReporter = report;
     }
 
     /** Returns the limit in force. */
@@ -45,38 +45,38 @@
      *     not lift its limit by leaving it out
      * @param sentMillis when the request that it answers was sent
      */
-    synchronized QueueChanges told(
+    synchronized QueueChanges handleNotice(
             TargetNotice notice, boolean ran, long sentMillis, long nowMillis) {
         mAnswered = true;
         if (notice.unreadable().isPresent()) {
-            mReport.unreadable(mTarget, notice.unreadable().get());
+            mReporter.unreadable(mTarget, notice.unreadable().get());
             return QueueChanges.NONE;
         }
         if (notice.limit().isPresent()) {
-            mNamedMillis = nowMillis;
-            change(notice.limit().get(), nowMillis);
+            mDeclaredAtMillis = nowMillis;
+            setLimit(notice.limit().get(), nowMillis);
             return QueueChanges.NONE;
         }
-        if (mLimit == null || !ran || sentMillis < mNamedMillis) {
+        if (mLimit == null || !ran || sentMillis < mDeclaredAtMillis) {
             return QueueChanges.NONE;
         }
-        mReport.changed(mTarget, Optional.empty(), inForce());
+        mReporter.changed(mTarget, Optional.empty(), inForce());
         mLimit = null;
         return mQueue.removeStartLimit(nowMillis);
     }
 
     /** Takes a limit that an entry was told; believed until the target has answered this guard. */
-    synchronized void heard(StartLimit limit, long nowMillis) {
+    synchronized void handleEntryLimit(StartLimit limit, long nowMillis) {
         if (!mAnswered) {
-            change(limit, nowMillis);
+            setLimit(limit, nowMillis);
         }
     }
 
-    private void change(StartLimit limit, long nowMillis) {
+    private void setLimit(StartLimit limit, long nowMillis) {
         if (limit.equals(mLimit)) {
             return;
         }
-        mReport.changed(mTarget, Optional.of(limit), inForce());
+        mReporter.changed(mTarget, Optional.of(limit), inForce());
         mLimit = limit;
         mQueue.setStartLimit(limit.keptPerSecond(), nowMillis);
     }
--- a/src/main/java/org/apricotgauge/target/TargetProbe.java
+++ b/src/main/java/org/apricotgauge/target/TargetProbe.java
@@ -12,35 +12,35 @@
 interface TargetProbe {
 
     /** What becomes of a connection to a target. */
-    enum Answer {
+    enum Result {
         /** It is accepted: the process lives. */
-        ACCEPTS,
+        ACCEPTED,
         /** It is refused: no process listens. */
-        REFUSES,
+        REFUSED,
         /** Nothing is heard in time; the machine or the way to it may be at fault. */
-        SILENT
+        UNREACHABLE
     }
 
     /** Opens a connection to the target, and closes it at once. */
-    CompletableFuture<Answer> ask(Target target);
+    CompletableFuture<Result> probe(Target target);
 
     /** Returns a probe that connects as the client does, without a request. */
-    static TargetProbe connecting(HttpClient client) {
+    static TargetProbe using(HttpClient client) {
         return target ->
                 client.resolveDestination(client.newRequest(target.host(), target.port()))
                         .newConnection()
-                        .handle(TargetProbe::answerOf);
+                        .handle(TargetProbe::resultOf);
     }
 
-    private static Answer answerOf(Connection connection, Throwable failure) {
+    private static Result resultOf(Connection connection, Throwable failure) {
         if (failure == null) {
             connection.close();
-            return Answer.ACCEPTS;
+            return Result.ACCEPTED;
         }
         Throwable cause =
                 failure instanceof CompletionException && failure.getCause() != null
                         ? failure.getCause()
                         : failure;
-        return cause instanceof ConnectException ? Answer.REFUSES : Answer.SILENT;
+        return cause instanceof ConnectException ? Result.REFUSED : Result.UNREACHABLE;
     }
 }
--- a/src/main/java/org/apricotgauge/target/TargetRequests.java
+++ b/src/main/java/org/apricotgauge/target/TargetRequestFactory.java
@@ -7,9 +7,9 @@
 import org.eclipse.jetty.client.Request;
 
 /** Makes the request that a target gets out of the one that its guard got. */
-final class TargetRequests {
+final class TargetRequestFactory {
 
-    private TargetRequests() {}
+    private TargetRequestFactory() {}
 
     /**
      * Returns the request, not sent.
--- a/src/main/java/org/apricotgauge/target/RunLog.java
+++ b/src/main/java/org/apricotgauge/target/TargetRunLog.java
@@ -18,7 +18,7 @@
  * <p>The guard is the last to look at whether a target takes work. Its line tells by which view of
  * the site it let the request pass, and how long ago it looked when the first byte went out.
  */
-final class RunLog {
+final class TargetRunLog {
     /** Lines of one node in a second: about 8 KB, whatever the load. */
     static final int LINES_PER_SECOND = 40;
 
@@ -47,11 +47,11 @@
     private record Line(Started run, long leftOut) {}
 
     /** A change of a target's limit, in requests a second; null where there is none. */
-    private record Limit(String target, Double perSecond, Double before, long leftOut) {}
+    private record LimitChange(String target, Double perSecond, Double before, long leftOut) {}
 
-    private record Unreadable(String target, String text, long leftOut) {}
+    private record UnreadableLimit(String target, String text, long leftOut) {}
 
-    RunLog(Ticker ticker) {
+    TargetRunLog(Ticker ticker) {
         mLog =
                 new BoundedLog(
                         Logger.getLogger("org.apricotgauge.requests"), ticker, LINES_PER_SECOND);
@@ -65,7 +65,8 @@
     void limitChanged(Target target, Optional<StartLimit> limit, Optional<StartLimit> before) {
         mLog.info(
                 limit.isPresent() ? "target names a limit" : "target names no limit any more",
-                leftOut -> new Limit(target.id(), perSecond(limit), perSecond(before), leftOut));
+                leftOut ->
+                        new LimitChange(target.id(), perSecond(limit), perSecond(before), leftOut));
     }
 
     private static Double perSecond(Optional<StartLimit> limit) {
@@ -73,9 +74,9 @@
     }
 
     /** Tells that a target names something as its limit that is none; the known one holds. */
-    void unreadableLimit(Target target, String text) {
+    void limitUnreadable(Target target, String text) {
         mLog.info(
                 "limit of a target is unreadable",
-                leftOut -> new Unreadable(target.id(), text, leftOut));
+                leftOut -> new UnreadableLimit(target.id(), text, leftOut));
     }
 }
--- a/src/test/java/org/apricotgauge/functional/Hops.java
+++ b/src/test/java/org/apricotgauge/functional/Hops.java
@@ -393,7 +393,7 @@
         }
 
         @Override
-        public void targetLimited(Target target, Optional<StartLimit> limit) {}
+        public void onTargetLimitChanged(Target target, Optional<StartLimit> limit) {}
 
         @Override
         public int nodeCount() {
@@ -401,7 +401,7 @@
         }
 
         @Override
-        public boolean isSiteCurrent() {
+        public boolean isSiteViewFresh() {
             return mIsSiteCurrent;
         }
 
@@ -419,15 +419,15 @@
         public void onGuardAcknowledged(HttpFields headers, long askedMillis) {}
 
         @Override
-        public long overdueMicros(Target target) {
+        public long unresponsiveAfterMicros(Target target) {
             return Long.MAX_VALUE;
         }
 
         @Override
-        public void attemptArrived(Target target, String entryHost, HttpFields headers) {}
+        public void onAttemptArrived(Target target, String entryHost, HttpFields headers) {}
 
         @Override
-        public void healthSeen(
+        public void onHealthObserved(
                 Target target, DegradationEstimate.Report health, int loadPermille) {}
 
         @Override
@@ -446,10 +446,10 @@
         public void onNestedCallFailed(String parentId) {}
 
         @Override
-        public void runStarted(String requestId) {}
+        public void onRunStarted(String requestId) {}
 
         @Override
-        public void runEnded(String requestId) {}
+        public void onRunEnded(String requestId) {}
 
         @Override
         public boolean isRunning(String requestId) {
@@ -457,7 +457,7 @@
         }
 
         @Override
-        public void repeatStarted(String requestId) {}
+        public void onRetryStarted(String requestId) {}
 
         @Override
         public boolean isRetry(String requestId) {
@@ -465,7 +465,7 @@
         }
 
         @Override
-        public boolean hasLostCall(String requestId) {
+        public boolean hasFailedCall(String requestId) {
             return mLosesCalls;
         }
 
@@ -473,12 +473,12 @@
         public void onFenceEnded(Target target, String attempt, FenceAnswer answer) {}
 
         @Override
-        public void observed(Target target, ObservedOutcome outcome, long serviceMicros) {}
+        public void onOutcome(Target target, ObservedOutcome outcome, long serviceMicros) {}
 
         @Override
-        public void beforeAnswer(Target target, HttpFields.Mutable headers) {}
+        public void addAnswerHeaders(Target target, HttpFields.Mutable headers) {}
 
         @Override
-        public void beforeAcknowledgement(HttpFields.Mutable headers) {}
+        public void addAcknowledgementHeaders(HttpFields.Mutable headers) {}
     }
 }
--- a/src/test/java/org/apricotgauge/functional/LimitsTest.java
+++ b/src/test/java/org/apricotgauge/functional/LimitsTest.java
@@ -159,7 +159,7 @@
         CompletableFuture<String> first = async("vm-a", post("/once/wait", ""));
         LocalFleet.await(() -> mTarget.runs() == 1);
 
-        mHops.vm("vm-b").guard().leave();
+        mHops.vm("vm-b").guard().drain();
 
         assertThat(ask("vm-a", post("/once", ""))).contains("Apricotgauge-Outcome: not-run");
         mGo.countDown();
--- a/src/test/java/org/apricotgauge/functional/StoppingGuardTest.java
+++ b/src/test/java/org/apricotgauge/functional/StoppingGuardTest.java
@@ -28,7 +28,7 @@
             CompletableFuture<String> waiting = book(hops);
             LocalFleet.await(() -> hops.vm("b").guard().inFlight() == 2);
 
-            hops.vm("b").guard().leave();
+            hops.vm("b").guard().drain();
 
             assertThat(waiting.get()).startsWith("HTTP/1.1 503").contains("not-run");
             go.countDown();
--- a/src/test/java/org/apricotgauge/target/RetryPassTest.java
+++ b/src/test/java/org/apricotgauge/target/RetryChargeTest.java
@@ -20,73 +20,73 @@
  * are sent again to one of the two healthy ones. That is 8 retries a second of the 9.4 that the
  * fleet may make; the parts of the two healthy guards allow 6.
  */
-class RetryPassTest {
+class RetryChargeTest {
     private static final int GUARDS = 6;
     private static final int HEALTHY = 2;
     private static final double SHARE = 0.16;
-    private static final RetryAllowancePolicy POOL = RetryAllowancePolicy.ofFleet(60, 10);
+    private static final RetryAllowancePolicy ALLOWANCE = RetryAllowancePolicy.ofFleet(60, 10);
 
     private final ManualTicker mTicker = new ManualTicker();
     private final SplittableRandom mRandom = new SplittableRandom(5);
     private final List<RetryBudget> mBudgets = new ArrayList<>();
 
     @Test
-    void partsOfFailingGuardsPayForRunsAtHealthyOnes() {
-        double allAlone = refusedShare(false);
-        double paid = refusedShare(true);
+    void budgetsOfFailingGuardsPayForRetriesAtHealthyOnes() {
+        double allAlone = rejectedRetryShare(false);
+        double paid = rejectedRetryShare(true);
 
         assertThat(allAlone).isGreaterThan(0.2);
         assertThat(paid).isLessThan(0.05);
     }
 
     @Test
-    void aRunThatIsPaidForCostsItsGuardNothing() {
+    void prepaidRetryIsNotCharged() {
         RetryBudget budget = new RetryBudget(0, 1, 0);
 
-        assertThat(pass(HeaderNames.REPEAT_PAID, budget).tryPass()).isTrue();
-        assertThat(pass(HeaderNames.REPEAT_OWN, budget).tryPass()).isTrue();
-        assertThat(pass(HeaderNames.REPEAT_OWN, budget).tryPass()).isFalse();
-        assertThat(pass(HeaderNames.REPEAT_PAID, budget).tryPass()).isTrue();
-        assertThat(pass(null, budget).tryPayNext()).isFalse();
+        assertThat(chargeOf(HeaderNames.REPEAT_PAID, budget).tryCharge()).isTrue();
+        assertThat(chargeOf(HeaderNames.REPEAT_OWN, budget).tryCharge()).isTrue();
+        assertThat(chargeOf(HeaderNames.REPEAT_OWN, budget).tryCharge()).isFalse();
+        assertThat(chargeOf(HeaderNames.REPEAT_PAID, budget).tryCharge()).isTrue();
+        assertThat(chargeOf(null, budget).tryPrepayRetry()).isFalse();
     }
 
-    private double refusedShare(boolean whoFailsPays) {
+    private double rejectedRetryShare(boolean whoFailsPays) {
         mBudgets.clear();
         for (int i = 0; i < GUARDS; i++) {
             mBudgets.add(
                     RetryBudget.startingEmpty(
                             mTicker.millis(),
                             SHARE,
-                            POOL.allowance(GUARDS).burst(),
-                            POOL.allowance(GUARDS).perSecond()));
+                            ALLOWANCE.allowance(GUARDS).burst(),
+                            ALLOWANCE.allowance(GUARDS).perSecond()));
         }
         int repeats = 0;
         int refused = 0;
         for (int i = 0; i < 40 * 60; i++) {
             mTicker.advanceMillis(25);
             boolean fails = mRandom.nextInt(10) < 2;
-            int target = fails ? HEALTHY + mRandom.nextInt(GUARDS - HEALTHY) : healthy();
-            RetryPass pass = pass(null, mBudgets.get(target));
-            pass.tryPass();
+            int target = fails ? HEALTHY + mRandom.nextInt(GUARDS - HEALTHY) : randomHealthyGuard();
+            RetryCharge pass = chargeOf(null, mBudgets.get(target));
+            pass.tryCharge();
             if (fails) {
-                boolean paid = whoFailsPays && pass.tryPayNext();
+                boolean paid = whoFailsPays && pass.tryPrepayRetry();
                 String repeat = paid ? HeaderNames.REPEAT_PAID : HeaderNames.REPEAT_OWN;
                 repeats++;
-                refused += pass(repeat, mBudgets.get(healthy())).tryPass() ? 0 : 1;
+                refused += chargeOf(repeat, mBudgets.get(randomHealthyGuard())).tryCharge() ? 0 : 1;
             }
         }
         return (double) refused / repeats;
     }
 
-    private int healthy() {
+    private int randomHealthyGuard() {
         return mRandom.nextInt(HEALTHY);
     }
 
-    private RetryPass pass(String repeat, RetryBudget budget) {
+    private RetryCharge chargeOf(String repeat, RetryBudget budget) {
         HttpFields.Mutable headers = HttpFields.build();
         if (repeat != null) {
             headers.put(HeaderNames.REPEAT, repeat);
         }
-        return new RetryPass(headers, budget, mTicker, () -> {});
+        return new RetryCharge(headers, budget, mTicker, () -> {});
     }
 }
