--- a/src/main/java/org/apricotgauge/directory/AgedSource.java
+++ b/src/main/java/org/apricotgauge/directory/AgeAdjustingSource.java
@@ -10,20 +10,20 @@
  * <p>Nobody knows how long an answer was on its way; since its question was asked is the most. So a
  * watch that waited for a change brings the change, and confirms nothing younger than itself.
  */
-final class AgedSource implements PublishedSource {
+final class AgeAdjustingSource implements PublishedSource {
     private final PublishedSource mSource;
     private final SuspendAwareClock mClock;
 
-    AgedSource(PublishedSource source, SuspendAwareClock clock) {
+    AgeAdjustingSource(PublishedSource source, SuspendAwareClock clock) {
         mSource = Checks.notNull("source", source);
         mClock = Checks.notNull("clock", clock);
     }
 
     /** Returns the parts of a feed with sources of this kind. */
-    static DirectoryFeed.Parts in(DirectoryFeed.Parts parts, SuspendAwareClock clock) {
+    static DirectoryFeed.Parts wrap(DirectoryFeed.Parts parts, SuspendAwareClock clock) {
         return new DirectoryFeed.Parts(
-                new AgedSource(parts.platform(), clock),
-                node -> new AgedSource(parts.peers().apply(node), clock),
+                new AgeAdjustingSource(parts.platform(), clock),
+                node -> new AgeAdjustingSource(parts.peers().apply(node), clock),
                 parts.decoder(),
                 parts.worker(),
                 parts.ticker(),
@@ -35,12 +35,13 @@
     @Override
     public CompletableFuture<PublishedPage> read(long afterRevision, long waitMillis) {
         long askedMillis = mClock.millis();
-        return mSource.read(afterRevision, waitMillis).thenApply(page -> aged(page, askedMillis));
+        return mSource.read(afterRevision, waitMillis)
+                .thenApply(page -> withTransitTime(page, askedMillis));
     }
 
-    private PublishedPage aged(PublishedPage page, long askedMillis) {
-        return page.tellsAge()
-                ? page.agedMillis(page.ageMillis() + mClock.millis() - askedMillis)
+    private PublishedPage withTransitTime(PublishedPage page, long askedMillis) {
+        return page.isAgeKnown()
+                ? page.withAgeMillis(page.ageMillis() + mClock.millis() - askedMillis)
                 : page;
     }
 }
--- a/src/main/java/org/apricotgauge/directory/Confirmations.java
+++ b/src/main/java/org/apricotgauge/directory/ConfirmationTracker.java
@@ -21,7 +21,7 @@
  * answered anybody again after so long that registrations may have run out meanwhile. That this
  * node heard nothing does not make it an absence; its own link may be full. Thread-safe.
  */
-final class Confirmations {
+final class ConfirmationTracker {
     private static final long NEVER = Long.MIN_VALUE / 4;
 
     private final PlatformTimes mTimes;
@@ -30,80 +30,83 @@
     /**
      * What is known.
      *
-     * @param confirmedMillis when the platform last held nothing that is unknown here
-     * @param readMillis the same, by what this node read itself
-     * @param answeredMillis when the platform last answered any node
-     * @param returnedMillis when this node learned that it does again, after its last absence
+     * @param confirmedAtMillis when the platform last held nothing that is unknown here
+     * @param readAtMillis the same, by what this node read itself
+     * @param answeredAtMillis when the platform last answered any node
+     * @param recoveredAtMillis when this node learned that it does again, after its last absence
      */
     private record State(
-            long confirmedMillis, long readMillis, long answeredMillis, long returnedMillis) {}
+            long confirmedAtMillis,
+            long readAtMillis,
+            long answeredAtMillis,
+            long recoveredAtMillis) {}
 
-    Confirmations(PlatformTimes times, long nowMillis) {
+    ConfirmationTracker(PlatformTimes times, long nowMillis) {
         mTimes = times;
         mState = new AtomicReference<>(new State(nowMillis, nowMillis, nowMillis, NEVER));
     }
 
     /** Notes that this node read that at that time the platform held nothing that it lacks. */
-    void confirmed(long atMillis, long nowMillis) {
+    void recordRead(long atMillis, long nowMillis) {
         mState.updateAndGet(
                 known -> {
                     State heard = withConfirmation(known, atMillis, nowMillis);
                     return new State(
-                            heard.confirmedMillis,
-                            Math.max(known.readMillis, atMillis),
-                            heard.answeredMillis,
-                            heard.returnedMillis);
+                            heard.confirmedAtMillis,
+                            Math.max(known.readAtMillis, atMillis),
+                            heard.answeredAtMillis,
+                            heard.recoveredAtMillis);
                 });
     }
 
     /** Notes that another node said so, in answer to this one. */
-    void heard(long atMillis, long nowMillis) {
+    void recordPeerConfirmation(long atMillis, long nowMillis) {
         mState.updateAndGet(known -> withConfirmation(known, atMillis, nowMillis));
     }
 
     /** Notes that at that time the platform answered this node or another. */
-    void answered(long atMillis, long nowMillis) {
+    void recordPlatformAnswer(long atMillis, long nowMillis) {
         mState.updateAndGet(known -> withAnswer(known, atMillis, nowMillis));
     }
 
     private State withConfirmation(State known, long atMillis, long nowMillis) {
         State answered = withAnswer(known, atMillis, nowMillis);
         return new State(
-                Math.max(known.confirmedMillis, atMillis),
-                known.readMillis,
-                answered.answeredMillis,
-                answered.returnedMillis);
+                Math.max(known.confirmedAtMillis, atMillis),
+                known.readAtMillis,
+                answered.answeredAtMillis,
+                answered.recoveredAtMillis);
     }
 
     private State withAnswer(State known, long atMillis, long nowMillis) {
-        return atMillis <= known.answeredMillis
+        return atMillis <= known.answeredAtMillis
                 ? known
                 : new State(
-                        known.confirmedMillis,
-                        known.readMillis,
+                        known.confirmedAtMillis,
+                        known.readAtMillis,
                         atMillis,
-                        returnedMillis(known, atMillis, nowMillis));
+                        recoveredAtMillis(known, atMillis, nowMillis));
     }
 
-    private long returnedMillis(State known, long answeredMillis, long nowMillis) {
-        boolean wasAway = answeredMillis - known.answeredMillis >= mTimes.awayMillis();
-        return wasAway ? nowMillis : known.returnedMillis;
+    private long recoveredAtMillis(State known, long answeredMillis, long nowMillis) {
+        boolean wasAway = answeredMillis - known.answeredAtMillis >= mTimes.minExpiryOutageMillis();
+        return wasAway ? nowMillis : known.recoveredAtMillis;
     }
 
     /** Forgets that anything was confirmed: time has passed that no steady clock tells. */
-    void forget() {
+    void reset() {
         mState.updateAndGet(
-                known -> new State(NEVER, NEVER, known.answeredMillis, known.returnedMillis));
+                known -> new State(NEVER, NEVER, known.answeredAtMillis, known.recoveredAtMillis));
     }
 
     /** Returns the time since the last confirmation, in milliseconds. */
     long ageMillis(long nowMillis) {
-        return Math.max(0, nowMillis - mState.get().confirmedMillis);
+        return Math.max(0, nowMillis - mState.get().confirmedAtMillis);
     }
 
     /** Returns the time since the last confirmation that this node read, in milliseconds. */
-    long toldAgeMillis(long nowMillis) {
-        return Math.max(0, nowMillis - mState.get().readMillis);
+    long reportedAgeMillis(long nowMillis) {
+        return Math.max(0, nowMillis - mState.get().readAtMillis);
     }
 
     /**
@@ -116,14 +119,15 @@
      * target lives; all of a service may be missing then, and callers would be refused until the
      * targets are back.
      */
-    long keepsPlaceUntilMillis(long nowMillis) {
+    long retainUntilMillis(long nowMillis) {
         State known = mState.get();
         long usualMillis =
                 Math.min(
-                        nowMillis + mTimes.keepMillis(),
-                        known.confirmedMillis + mTimes.worksOnMillis());
+                        nowMillis + mTimes.maxRetentionMillis(),
+                        known.confirmedAtMillis + mTimes.workWindowMillis());
         return Math.max(
                 usualMillis,
-                returnedMillis(known, nowMillis, nowMillis) + PlatformTimes.BACK_MILLIS);
+                recoveredAtMillis(known, nowMillis, nowMillis)
+                        + PlatformTimes.REGISTRATION_RECOVERY_MILLIS);
     }
 }
--- a/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
+++ b/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
@@ -27,57 +27,57 @@
  * nodes watch the platform; each other one watches its parent in the {@link ReaderTree} and asks it
  * for a younger view before its own grows old. Whoever is told none in time asks the platform, so
  * that no view depends on another node. Every hop between nodes carries the sender's revision too:
- * a node that lags by {@link #HINT_PATIENCE_MILLIS} fetches what it misses from the node that said
- * so. All work is done on one worker thread.
+ * a node that lags by {@link #HINT_DELAY_MILLIS} fetches what it misses from the node that said so.
+ * All work is done on one worker thread.
  */
 public final class DirectoryFeed implements AutoCloseable {
     /**
      * How long one watch waits, in milliseconds. One at the platform costs a call each time; that
-     * it still works is found out by the age of the view, see {@link #keepYoung}.
+     * it still works is found out by the age of the view, see {@link #refreshIfStale}.
      */
     static final long WATCH_MILLIS = 10_000;
 
     /** Longest wait for an answer beyond what was asked for; answers take 4 ms, slow ones 250. */
-    static final long ANSWER_MILLIS = 1_000;
+    static final long ANSWER_TIMEOUT_MILLIS = 1_000;
 
     /**
      * Pause of a platform's reader after a page with changes: those of the next 0.3 s come in one
      * call. A version still is in force well within the 2 s that it may take.
      */
-    static final long GAP_MILLIS = 300;
+    static final long PLATFORM_BATCHING_MILLIS = 300;
 
     /** The same for a reader of another node, which nobody counts. */
-    static final long NODE_GAP_MILLIS = 50;
+    static final long NODE_BATCHING_MILLIS = 50;
 
     /**
      * How long a peer may be ahead before it is asked. Two readers of the platform differ by their
      * pauses after a page, and the nodes below them by some milliseconds more.
      */
-    static final long HINT_PATIENCE_MILLIS = 400;
+    static final long HINT_DELAY_MILLIS = 400;
 
     private static final String PLATFORM = "platform";
 
     private final Parts mParts;
     private final Listener mListener;
     private final DirectoryLog mLog = new DirectoryLog();
-    private final SiteFold mSite;
-    private final CompletableFuture<Void> mOpened = new CompletableFuture<>();
-    private final ViewAge mAge;
+    private final SiteState mSite;
+    private final CompletableFuture<Void> mReady = new CompletableFuture<>();
+    private final ViewAgeTracker mViewAge;
     private final ParentLink mParent;
-    private final NodeReaders mReaders;
+    private final WaitingReaders mReaders;
     private final PeerHints mHints;
 
     private final SiteWatch mWatch;
     private final PlatformLink mPlatform;
 
     private boolean mIsClosed;
-    private long mRenewAtAgeMillis;
+    private long mRefreshAtAgeMillis;
 
     /** Hears what became of the site, on the worker thread. */
     @FunctionalInterface
     public interface Listener {
         /** Something that requests depend on is different. */
-        void onSite(SiteDirectory directory);
+        void onSiteChanged(SiteDirectory directory);
     }
 
     /**
@@ -118,16 +118,16 @@
     /** Creates a feed that is not started. */
     public DirectoryFeed(Parts parts, Listener listener) {
         SuspendAwareClock elapsed = new SuspendAwareClock(parts.ticker(), parts.wallMillis());
-        mParts = AgedSource.in(parts, elapsed);
-        mAge = new ViewAge(mParts, elapsed);
+        mParts = AgeAdjustingSource.wrap(parts, elapsed);
+        mViewAge = new ViewAgeTracker(mParts, elapsed);
         mListener = Checks.notNull("listener", listener);
-        mSite = new SiteFold(parts.decoder(), mLog);
-        mParent = new ParentLink(mParts, mLog, this::readFromAsked, this::confirmAlone);
-        mReaders = new NodeReaders(new OwnView(), parts.times());
-        mHints = new PeerHints(mParts, mLog, this::read);
-        mWatch = new SiteWatch(mParts, this::readFromParent);
-        mPlatform = new PlatformLink(mParts, mLog, (page, inTime) -> read(page, null, inTime));
-        mRenewAtAgeMillis = drawRenewalAgeMillis();
+        mSite = new SiteState(parts.decoder(), mLog);
+        mParent = new ParentLink(mParts, mLog, this::applyQueriedPage, this::refreshWithoutNode);
+        mReaders = new WaitingReaders(new LocalView(), parts.times());
+        mHints = new PeerHints(mParts, mLog, this::applyPage);
+        mWatch = new SiteWatch(mParts, this::applyParentPage);
+        mPlatform = new PlatformLink(mParts, mLog, (page, inTime) -> applyPage(page, null, inTime));
+        mRefreshAtAgeMillis = drawRefreshAgeMillis();
     }
 
     /** Begins to read. */
@@ -136,13 +136,13 @@
     }
 
     /** Returns a future that completes once a configuration is known and was confirmed. */
-    public CompletableFuture<Void> opened() {
-        return mOpened;
+    public CompletableFuture<Void> ready() {
+        return mReady;
     }
 
     /** Returns whether what is known may be acted on: it is there, and confirmed after a pause. */
     public boolean mayAct() {
-        return mOpened.isDone() && mAge.isAwake();
+        return mReady.isDone() && mViewAge.mayAct();
     }
 
     /**
@@ -152,17 +152,18 @@
      * While the platform does not answer, targets are served as they were last known.
      */
     public boolean isCurrent() {
-        return mAge.millis() <= mParts.times().actBoundMillis() || mPlatform.isAway();
+        return mViewAge.ageMillis() <= mParts.times().maxUsableAgeMillis()
+                || mPlatform.isUnavailable();
     }
 
     /** Notes the newest change that a peer knows; cheap, from any thread. */
     public void hint(long newestRevision, Address peer) {
-        mHints.hint(newestRevision, peer, mParts.ticker().millis(), !mOpened.isDone());
+        mHints.hint(newestRevision, peer, mParts.ticker().millis(), !mReady.isDone());
     }
 
-    /** Returns a time to give to {@link #confirm}; cheap, from any thread. */
+    /** Returns a time to give to {@link #recordPeerView}; cheap, from any thread. */
     public long elapsedMillis() {
-        return mAge.elapsedMillis();
+        return mViewAge.elapsedMillis();
     }
 
     /**
@@ -172,16 +173,16 @@
      * @param askedMillis when this node asked, by {@link #elapsedMillis}; the answer may have been
      *     on its way ever since
      */
-    public void confirm(SiteView told, long askedMillis) {
+    public void recordPeerView(SiteView told, long askedMillis) {
         // After a pause of this process the word may have waited here for as long as the pause.
         if (!mayAct()) {
             return;
         }
         long atMillis = askedMillis - told.ageMillis();
         if (told.revision() <= mSite.items().revision()) {
-            mAge.heard(atMillis);
+            mViewAge.recordPeerConfirmation(atMillis);
         } else {
-            mAge.answered(atMillis);
+            mViewAge.recordPlatformAnswer(atMillis);
         }
     }
 
@@ -192,13 +193,13 @@
 
     /** Returns the revision of the newest change that is known. */
     public long newestRevision() {
-        return mSite.items().newest();
+        return mSite.items().newestRevision();
     }
 
     /** Returns what is known of the site, and since when the platform may know more. */
     public SiteView view() {
         // In this order: a change that comes in between makes the age too high, never too low.
-        long ageMillis = mAge.millis();
+        long ageMillis = mViewAge.ageMillis();
         return new SiteView(newestRevision(), ageMillis);
     }
 
@@ -206,8 +207,8 @@
      * Returns up to which revision this node knows all changes, and since when the platform may
      * hold others, as it may be told to other nodes: by what this node read itself.
      */
-    public SiteView toldView() {
-        long ageMillis = mAge.toldMillis();
+    public SiteView reportedView() {
+        long ageMillis = mViewAge.reportedMillis();
         return new SiteView(mSite.items().revision(), ageMillis);
     }
 
@@ -228,50 +229,50 @@
             return;
         }
         long nowMillis = mParts.ticker().millis();
-        wakeIfPaused(nowMillis);
-        mLog.viewIs(newestRevision(), mAge.millis(), mParts.times().viewBoundMillis());
+        recoverIfPaused(nowMillis);
+        mLog.logViewAge(newestRevision(), mViewAge.ageMillis(), mParts.times().maxViewAgeMillis());
         mWatch.expire(nowMillis);
         mPlatform.expire(nowMillis);
         mParent.expire(nowMillis);
-        followTree(nowMillis);
-        keepYoung(nowMillis);
+        updateParent(nowMillis);
+        refreshIfStale(nowMillis);
         if (mSite.directory().expire(nowMillis)) {
-            mListener.onSite(mSite.directory());
+            mListener.onSiteChanged(mSite.directory());
         }
         followHint(nowMillis);
-        if (mPlatform.isLost() || !mOpened.isDone()) {
-            mHints.askAny(mSite.items().revision(), nowMillis);
+        if (mPlatform.isLost() || !mReady.isDone()) {
+            mHints.queryAnyPeer(mSite.items().revision(), nowMillis);
         }
-        mReaders.answer(nowMillis);
+        mReaders.answerDue(nowMillis);
         watchIfDue();
     }
 
-    private void wakeIfPaused(long nowMillis) {
-        if (!mAge.onTick()) {
+    private void recoverIfPaused(long nowMillis) {
+        if (!mViewAge.onTick()) {
             return;
         }
-        mLog.woke(mSite.items().revision());
-        mHints.woke();
-        mPlatform.drop();
-        mParent.drop();
+        mLog.logResumed(mSite.items().revision());
+        mHints.onResumed();
+        mPlatform.cancel();
+        mParent.cancel();
         // The waiting call may hang on a connection that is silent for good; a new one asks now.
         watch(nowMillis, 0);
-        mHints.askAny(mSite.items().revision(), nowMillis);
+        mHints.queryAnyPeer(mSite.items().revision(), nowMillis);
     }
 
-    private void followTree(long nowMillis) {
-        if (mParent.follow(!mOpened.isDone(), mSite.items().revision(), nowMillis)) {
+    private void updateParent(long nowMillis) {
+        if (mParent.selectNodes(!mReady.isDone(), mSite.items().revision(), nowMillis)) {
             mWatch.pause(0);
-            mRenewAtAgeMillis = drawRenewalAgeMillis();
+            mRefreshAtAgeMillis = drawRefreshAgeMillis();
         }
     }
 
     private void followHint(long nowMillis) {
         // A whole read may be newer than all items in it, when a target came and went meanwhile.
         ItemTable items = mSite.items();
-        long knownRevision = Math.max(items.newest(), items.revision());
-        if (mHints.followsAfter(HINT_PATIENCE_MILLIS, knownRevision, nowMillis)) {
-            mHints.askHinter(items.revision(), nowMillis);
+        long knownRevision = Math.max(items.newestRevision(), items.revision());
+        if (mHints.consumeDueHint(HINT_DELAY_MILLIS, knownRevision, nowMillis)) {
+            mHints.queryHintedPeer(items.revision(), nowMillis);
             watch(nowMillis, 0);
         }
     }
@@ -282,48 +283,50 @@
             return;
         }
         boolean answers = !readsPlatform() || !mPlatform.isLost();
-        watch(nowMillis, mSite.items().isKnown() && mAge.wasRead() && answers ? WATCH_MILLIS : 0);
+        watch(
+                nowMillis,
+                mSite.items().isInitialized() && mViewAge.wasRead() && answers ? WATCH_MILLIS : 0);
     }
 
     private void watch(long nowMillis, long waitMillis) {
         Address node = mParent.node();
-        PendingRead.End end =
+        PendingRead.CompletionListener end =
                 node == null
-                        ? new PlatformWatchEnd()
-                        : mParent.watchEnd(node, () -> mWatch.pause(NODE_GAP_MILLIS));
-        mWatch.begin(node, mSite.items().revision(), waitMillis, nowMillis, end);
+                        ? new PlatformWatchListener()
+                        : mParent.watchListener(node, () -> mWatch.pause(NODE_BATCHING_MILLIS));
+        mWatch.start(node, mSite.items().revision(), waitMillis, nowMillis, end);
     }
 
     /** How a read of the platform ends that waits for changes, or that would like to. */
-    private final class PlatformWatchEnd implements PendingRead.End {
+    private final class PlatformWatchListener implements PendingRead.CompletionListener {
         @Override
         public void answered(PublishedPage page) {
-            platformAnswered();
+            recordPlatformAnswer();
             // A start waits for nothing: its first page may be old, and callers wait meanwhile.
-            boolean asksAtOnce = page.items().isEmpty() || !mAge.wasRead();
-            mWatch.pause(asksAtOnce ? 0 : GAP_MILLIS);
+            boolean asksAtOnce = page.items().isEmpty() || !mViewAge.wasRead();
+            mWatch.pause(asksAtOnce ? 0 : PLATFORM_BATCHING_MILLIS);
             watchIfDue();
         }
 
         @Override
         public void failed(String reason) {
-            platformFailed(reason);
+            recordPlatformFailure(reason);
         }
     }
 
     // A watch that went silent looks like one with nothing to tell. Requests went to targets up to
     // 11 s after they had left, until it was given up. So a node whose view nobody confirmed for
     // long enough asks its parent; and if that does not help, or there is none, the platform.
-    private void keepYoung(long nowMillis) {
-        long ageMillis = mAge.millis();
-        if (mParent.asked() != null && ageMillis >= mParts.times().askNodeMillis()) {
-            askNode(nowMillis);
+    private void refreshIfStale(long nowMillis) {
+        long ageMillis = mViewAge.ageMillis();
+        if (mParent.queriedNode() != null && ageMillis >= mParts.times().nodeQueryAgeMillis()) {
+            refreshFromNode(nowMillis);
         }
-        if (ageMillis >= mRenewAtAgeMillis && mayRenew(nowMillis)) {
-            renew(nowMillis);
+        if (ageMillis >= mRefreshAtAgeMillis && mayQueryPlatform(nowMillis)) {
+            refreshFromPlatform(nowMillis);
         }
-        if (!readsPlatform() && ageMillis < mParts.times().askNodeMillis()) {
-            platformAnswered();
+        if (!readsPlatform() && ageMillis < mParts.times().nodeQueryAgeMillis()) {
+            recordPlatformAnswer();
         }
     }
 
@@ -331,105 +334,111 @@
         return mParent.node() == null;
     }
 
-    private boolean mayRenew(long nowMillis) {
+    private boolean mayQueryPlatform(long nowMillis) {
         if (readsPlatform()) {
             return mWatch.isWaiting() && !mPlatform.isLost();
         }
-        return !mPlatform.isLost() || nowMillis >= mPlatform.nextTryMillis();
+        return !mPlatform.isLost() || nowMillis >= mPlatform.nextRetryMillis();
     }
 
-    private void confirmAlone() {
+    private void refreshWithoutNode() {
         if (readsPlatform() && !mPlatform.isLost()) {
-            renew(mParts.ticker().millis());
+            refreshFromPlatform(mParts.ticker().millis());
         }
     }
 
-    private void askNode(long nowMillis) {
+    private void refreshFromNode(long nowMillis) {
         long pauseMillis =
-                mPlatform.isLost() ? PeerHints.PAUSE_MILLIS : mParts.times().nodeAnswerMillis();
-        mParent.ask(mSite.items().revision(), pauseMillis, nowMillis);
+                mPlatform.isLost()
+                        ? PeerHints.QUERY_INTERVAL_MILLIS
+                        : mParts.times().nodeTimeoutMillis();
+        mParent.query(mSite.items().revision(), pauseMillis, nowMillis);
     }
 
-    private void renew(long nowMillis) {
-        if (mPlatform.ask(mSite.items().revision(), nowMillis, new RenewalEnd())) {
-            mRenewAtAgeMillis = drawRenewalAgeMillis();
+    private void refreshFromPlatform(long nowMillis) {
+        if (mPlatform.query(mSite.items().revision(), nowMillis, new PlatformRefreshListener())) {
+            mRefreshAtAgeMillis = drawRefreshAgeMillis();
         }
     }
 
     // Nodes that were confirmed together would all ask together; spread over a part of the time,
     // the first ones' answers spare most of the others their question.
-    private long drawRenewalAgeMillis() {
+    private long drawRefreshAgeMillis() {
         PlatformTimes times = mParts.times();
         long leastMillis =
-                mParent.asked() == null ? times.askNodeMillis() : times.askPlatformMillis();
-        return mParts.random().nextLong(leastMillis, times.viewBoundMillis() + 1);
+                mParent.queriedNode() == null
+                        ? times.nodeQueryAgeMillis()
+                        : times.platformQueryAgeMillis();
+        return mParts.random().nextLong(leastMillis, times.maxViewAgeMillis() + 1);
     }
 
     /** How a question to the platform ends that confirms what is known. */
-    private final class RenewalEnd implements PendingRead.End {
+    private final class PlatformRefreshListener implements PendingRead.CompletionListener {
         @Override
         public void answered(PublishedPage page) {
-            platformAnswered();
+            recordPlatformAnswer();
             if (!readsPlatform()) {
                 mParent.suspect(mParent.node(), "knows less than the platform told this node");
-            } else if (!page.items().isEmpty() && mWatch.isUnderWay()) {
-                mLog.watchWasSilent(page.revision());
-                mWatch.pause(GAP_MILLIS);
+            } else if (!page.items().isEmpty() && mWatch.isInProgress()) {
+                mLog.logSilentWatch(page.revision());
+                mWatch.pause(PLATFORM_BATCHING_MILLIS);
             }
         }
 
         @Override
         public void failed(String reason) {
-            platformFailed(reason);
+            recordPlatformFailure(reason);
         }
     }
 
-    private void platformAnswered() {
-        mPlatform.answered(mSite.items().revision());
+    private void recordPlatformAnswer() {
+        mPlatform.recordAnswer(mSite.items().revision());
     }
 
-    private void platformFailed(String reason) {
+    private void recordPlatformFailure(String reason) {
         long nowMillis = mParts.ticker().millis();
-        mPlatform.failed(reason, mSite.items().revision(), mParent.tree(), nowMillis);
+        mPlatform.recordFailure(reason, mSite.items().revision(), mParent.tree(), nowMillis);
         if (readsPlatform()) {
-            mWatch.pause(mPlatform.nextTryMillis() - nowMillis);
+            mWatch.pause(mPlatform.nextRetryMillis() - nowMillis);
         }
     }
 
-    private void readFromParent(PublishedPage page, boolean inTime) {
-        read(page, mParent.node(), inTime);
+    private void applyParentPage(PublishedPage page, boolean inTime) {
+        applyPage(page, mParent.node(), inTime);
     }
 
-    private void readFromAsked(PublishedPage page, boolean inTime) {
-        read(page, mParent.asked(), inTime);
+    private void applyQueriedPage(PublishedPage page, boolean inTime) {
+        applyPage(page, mParent.queriedNode(), inTime);
     }
 
-    private void read(PublishedPage page, Address node, boolean inTime) {
+    private void applyPage(PublishedPage page, Address node, boolean inTime) {
         long nowMillis = mParts.ticker().millis();
         boolean isOvertaken = page.revision() < mSite.items().revision();
         // A page that answers a read given up may be as old as its call: a watch's 10 s, or the
         // pause of this process.
-        boolean tellsTime = page.tellsAge() && inTime;
+        boolean tellsTime = page.isAgeKnown() && inTime;
         if (tellsTime) {
             // First, so that the page's own delay does not pass for an absence of the platform.
-            mAge.answered(mAge.elapsedMillis() - page.ageMillis());
+            mViewAge.recordPlatformAnswer(mViewAge.elapsedMillis() - page.ageMillis());
         }
-        if (mSite.take(page, originOf(node), nowMillis)) {
-            mListener.onSite(mSite.directory());
+        if (mSite.apply(page, originOf(node), nowMillis)) {
+            mListener.onSiteChanged(mSite.directory());
         }
         if (tellsTime && !isOvertaken) {
-            mAge.read(page);
+            mViewAge.recordRead(page);
         }
-        if (mSite.directory().configuration() != null && mAge.wasRead()) {
-            mSite.logNewTargets();
-            mOpened.complete(null);
+        if (mSite.directory().configuration() != null && mViewAge.wasRead()) {
+            mSite.enableNewTargetLogging();
+            mReady.complete(null);
         }
-        mReaders.answer(nowMillis);
+        mReaders.answerDue(nowMillis);
     }
 
-    private SiteFold.Origin originOf(Address node) {
-        return new SiteFold.Origin(
-                node == null ? PLATFORM : node.toString(), mAge.millis(), mAge.keepMillis());
+    private SiteState.PageOrigin originOf(Address node) {
+        return new SiteState.PageOrigin(
+                node == null ? PLATFORM : node.toString(),
+                mViewAge.ageMillis(),
+                mViewAge.retentionMillis());
     }
 
     /**
@@ -438,12 +447,12 @@
      * @param afterRevision revision that it has
      * @param waitMillis how long it waits for a change; 0 if it asks for a younger view
      */
-    public CompletableFuture<PublishedPage> published(long afterRevision, long waitMillis) {
+    public CompletableFuture<PublishedPage> changesForNode(long afterRevision, long waitMillis) {
         CompletableFuture<PublishedPage> answer = new CompletableFuture<>();
         mParts.worker()
                 .execute(
                         () ->
-                                mReaders.ask(
+                                mReaders.submit(
                                         afterRevision,
                                         waitMillis,
                                         answer,
@@ -452,7 +461,7 @@
     }
 
     /** What other nodes are told. */
-    private final class OwnView implements NodeReaders.View {
+    private final class LocalView implements WaitingReaders.View {
         @Override
         public ItemTable items() {
             return mSite.items();
@@ -460,24 +469,24 @@
 
         @Override
         public long ageMillis() {
-            return mAge.toldMillis();
+            return mViewAge.reportedMillis();
         }
 
         @Override
-        public boolean knowsAge() {
-            return mAge.wasRead() && mAge.isAwake();
+        public boolean isAgeKnown() {
+            return mViewAge.wasRead() && mViewAge.mayAct();
         }
 
         @Override
-        public boolean makeYounger() {
+        public boolean requestRefresh() {
             if (mPlatform.isLost()) {
                 return false;
             }
             long nowMillis = mParts.ticker().millis();
-            if (mParent.asked() == null) {
-                renew(nowMillis);
+            if (mParent.queriedNode() == null) {
+                refreshFromPlatform(nowMillis);
             } else {
-                askNode(nowMillis);
+                refreshFromNode(nowMillis);
             }
             return true;
         }
@@ -485,8 +494,8 @@
         // The question to the platform may be lost; a node of another failure domain may have had
         // its answer.
         @Override
-        public void stayedOld() {
-            mHints.askAny(mSite.items().revision(), mParts.ticker().millis());
+        public void onStaleAnswer() {
+            mHints.queryAnyPeer(mSite.items().revision(), mParts.ticker().millis());
         }
     }
 
--- a/src/main/java/org/apricotgauge/directory/DirectoryLog.java
+++ b/src/main/java/org/apricotgauge/directory/DirectoryLog.java
@@ -10,8 +10,8 @@
     private static final long LARGE_PAGE_BYTES = 100_000;
 
     private final StateLog mLog = new StateLog(Logger.getLogger(DirectoryFeed.class));
-    private Reading mReading = Reading.TIME;
-    private boolean mIsViewOld;
+    private Reading mReading = Reading.EXPIRY;
+    private boolean mIsViewStale;
 
     /**
      * What a step in the belief of a target rests on.
@@ -23,16 +23,16 @@
      */
     record Reading(long revision, String source, long viewAgeMillis, long keepMillis) {
         /** Nothing was read; time has run out. */
-        static final Reading TIME = new Reading(0, "", 0, 0);
+        static final Reading EXPIRY = new Reading(0, "", 0, 0);
     }
 
-    private record Believed(TargetChange target, Reading reading) {}
+    private record TargetChangeLine(TargetChange target, Reading reading) {}
 
     private record Revision(long revision) {}
 
-    private record Silent(long missedRevision) {}
+    private record SilentWatch(long missedRevision) {}
 
-    private record Lost(String reason, long revision) {}
+    private record PlatformLost(String reason, long revision) {}
 
     private record LargePage(String source, long revision, long bytes, long viewAgeMillis) {}
 
@@ -43,7 +43,7 @@
     private record PeerFailed(String peer, String reason) {}
 
     /** Notes what the following steps in beliefs rest on. */
-    void reads(Reading reading) {
+    void setReading(Reading reading) {
         mReading = reading;
     }
 
@@ -52,7 +52,7 @@
      *
      * @param viewAgeMillis time since the last confirmation before it
      */
-    void pageRead(String source, PublishedPage page, long viewAgeMillis) {
+    void logPageSize(String source, PublishedPage page, long viewAgeMillis) {
         long bytes = page.items().stream().mapToLong(item -> item.value().length).sum();
         if (bytes >= LARGE_PAGE_BYTES) {
             mLog.info(
@@ -66,12 +66,12 @@
      *
      * @param boundMillis age from which on it is older than it should be
      */
-    void viewIs(long revision, long ageMillis, long boundMillis) {
+    void logViewAge(long revision, long ageMillis, long boundMillis) {
         boolean isOld = ageMillis > boundMillis;
-        if (isOld == mIsViewOld) {
+        if (isOld == mIsViewStale) {
             return;
         }
-        mIsViewOld = isOld;
+        mIsViewStale = isOld;
         if (isOld) {
             mLog.warn("view of the site is too old", new View(revision, ageMillis));
         } else {
@@ -79,41 +79,41 @@
         }
     }
 
-    void believes(TargetChange change) {
-        mLog.info("target changed", new Believed(change, mReading));
+    void logTargetChange(TargetChange change) {
+        mLog.info("target changed", new TargetChangeLine(change, mReading));
     }
 
-    void decoded(SiteChange change) {
+    void logDecoded(SiteChange change) {
         if (change instanceof SiteChange.Unreadable unreadable) {
             mLog.warn("published item is unreadable", unreadable);
         }
-        if (change instanceof SiteChange.Unusable unusable) {
+        if (change instanceof SiteChange.InvalidRegistration unusable) {
             mLog.warn("registration names no target", unusable);
         }
     }
 
-    void woke(long revision) {
+    void logResumed(long revision) {
         mLog.warn("woke from a pause", new Revision(revision));
     }
 
-    void watchWasSilent(long missedRevision) {
-        mLog.warn("watch brought nothing", new Silent(missedRevision));
+    void logSilentWatch(long missedRevision) {
+        mLog.warn("watch brought nothing", new SilentWatch(missedRevision));
     }
 
-    void lost(String reason, long revision) {
-        mLog.warn("platform lost", new Lost(reason, revision));
+    void logPlatformLost(String reason, long revision) {
+        mLog.warn("platform lost", new PlatformLost(reason, revision));
     }
 
-    void regained(long revision) {
+    void logPlatformRegained(long revision) {
         mLog.info("platform regained", new Revision(revision));
     }
 
-    void peerFailed(Address peer, String reason) {
+    void logPeerFailure(Address peer, String reason) {
         mLog.warn("peer does not tell what it knows", new PeerFailed(peer.toString(), reason));
     }
 
     /** Tells whom the site is read from; null for the platform. */
-    void readsFrom(Address parent, long revision) {
+    void logParent(Address parent, long revision) {
         String source = parent == null ? "platform" : parent.toString();
         mLog.info("site is read from", new Parent(source, revision));
     }
--- a/src/main/java/org/apricotgauge/directory/ItemTable.java
+++ b/src/main/java/org/apricotgauge/directory/ItemTable.java
@@ -23,11 +23,11 @@
 public final class ItemTable {
     /** Knows nothing. */
     public static final ItemTable EMPTY =
-            new ItemTable(0, new Unseen(0, 0, 0), HashTreePMap.empty());
+            new ItemTable(0, new UnseenRevisions(0, 0, 0), HashTreePMap.empty());
 
     private final long mRevision;
-    private final long mNewest;
-    private final Unseen mUnseen;
+    private final long mNewestRevision;
+    private final UnseenRevisions mUnseenRevisions;
     private final PMap<String, PublishedItem> mItems;
 
     /**
@@ -38,12 +38,12 @@
      * @param gapFrom last revision before the earliest later one
      * @param gapTo revision of the latest one
      */
-    private record Unseen(long first, long gapFrom, long gapTo) {
-        Unseen withWholeRead(long before, long after) {
+    private record UnseenRevisions(long first, long gapFrom, long gapTo) {
+        UnseenRevisions withFullRead(long before, long after) {
             if (before == 0) {
-                return new Unseen(after, after, after);
+                return new UnseenRevisions(after, after, after);
             }
-            return new Unseen(first, gapFrom == gapTo ? before : gapFrom, after);
+            return new UnseenRevisions(first, gapFrom == gapTo ? before : gapFrom, after);
         }
 
         boolean contains(long revision) {
@@ -51,11 +51,12 @@
         }
     }
 
-    private ItemTable(long revision, Unseen unseen, PMap<String, PublishedItem> items) {
+    private ItemTable(long revision, UnseenRevisions unseen, PMap<String, PublishedItem> items) {
         mRevision = revision;
-        mUnseen = unseen;
+        mUnseenRevisions = unseen;
         mItems = items;
-        mNewest = items.values().stream().mapToLong(PublishedItem::revision).max().orElse(0);
+        mNewestRevision =
+                items.values().stream().mapToLong(PublishedItem::revision).max().orElse(0);
     }
 
     /** Returns the revision up to which all changes are in the table. */
@@ -64,12 +65,12 @@
     }
 
     /** Returns the revision of the newest change; it tells two tables apart, whoever read later. */
-    public long newest() {
-        return mNewest;
+    public long newestRevision() {
+        return mNewestRevision;
     }
 
     /** Returns whether the table has ever taken a whole page. */
-    public boolean isKnown() {
+    public boolean isInitialized() {
         return mRevision > 0;
     }
 
@@ -80,7 +81,7 @@
 
     /** Returns the table with a page taken in; this one if the page is not newer. */
     public ItemTable with(PublishedPage page) {
-        if (page.revision() < mRevision || (!page.whole() && !isKnown())) {
+        if (page.revision() < mRevision || (!page.full() && !isInitialized())) {
             return this;
         }
         PMap<String, PublishedItem> items = mItems;
@@ -90,16 +91,18 @@
                 items = items.plus(item.key(), item);
             }
         }
-        if (page.whole()) {
-            items = withoutMissing(items, page);
+        if (page.full()) {
+            items = withMissingRemoved(items, page);
         }
         return new ItemTable(
                 page.revision(),
-                page.whole() ? mUnseen.withWholeRead(mRevision, page.revision()) : mUnseen,
+                page.full()
+                        ? mUnseenRevisions.withFullRead(mRevision, page.revision())
+                        : mUnseenRevisions,
                 items);
     }
 
-    private static PMap<String, PublishedItem> withoutMissing(
+    private static PMap<String, PublishedItem> withMissingRemoved(
             PMap<String, PublishedItem> items, PublishedPage page) {
         Set<String> present = new HashSet<>();
         page.items().forEach(item -> present.add(item.key()));
@@ -121,18 +124,18 @@
      */
     public List<PublishedItem> changedSince(ItemTable earlier) {
         return mItems.values().stream()
-                .filter(item -> isNews(item, earlier.item(item.key())))
+                .filter(item -> isChanged(item, earlier.item(item.key())))
                 .sorted(Comparator.comparingLong(PublishedItem::revision))
                 .toList();
     }
 
-    private static boolean isNews(PublishedItem item, PublishedItem known) {
+    private static boolean isChanged(PublishedItem item, PublishedItem known) {
         return known == null ? !item.removed() : known.revision() != item.revision();
     }
 
     /** Returns whether a reader that has everything up to a revision lacks something. */
-    boolean hasNewsFor(long revision) {
-        return mNewest > revision || mUnseen.contains(revision);
+    boolean hasChangesFor(long revision) {
+        return mNewestRevision > revision || mUnseenRevisions.contains(revision);
     }
 
     /**
@@ -143,7 +146,7 @@
      * would never hear of its end from the changes alone, and would use a target that is long gone.
      */
     public PublishedPage changesAfter(long revision) {
-        boolean whole = revision == 0 || mUnseen.contains(revision);
+        boolean whole = revision == 0 || mUnseenRevisions.contains(revision);
         List<PublishedItem> changed =
                 mItems.values().stream()
                         .filter(item -> whole ? !item.removed() : item.revision() > revision)
--- a/src/main/java/org/apricotgauge/directory/PageCodec.java
+++ b/src/main/java/org/apricotgauge/directory/PageCodec.java
@@ -24,7 +24,7 @@
             new ObjectMapper(new MessagePackFactory())
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-    private final ValuePacker mPacker = new ValuePacker();
+    private final ValueCompressor mCompressor = new ValueCompressor();
 
     /**
      * An item on the wire.
@@ -47,7 +47,7 @@
         List<ItemMessage> items =
                 page.items().stream().map(item -> message(item, compressed)).toList();
         PageMessage message =
-                new PageMessage(page.revision(), page.whole(), items, page.ageMillis());
+                new PageMessage(page.revision(), page.full(), items, page.ageMillis());
         try {
             return MAPPER.writeValueAsBytes(message);
         } catch (IOException e) {
@@ -56,8 +56,8 @@
     }
 
     private ItemMessage message(PublishedItem item, boolean compressed) {
-        boolean packs = compressed && item.value().length >= ValuePacker.LEAST_BYTES;
-        byte[] value = packs ? mPacker.pack(item.value()) : item.value();
+        boolean packs = compressed && item.value().length >= ValueCompressor.MIN_BYTES;
+        byte[] value = packs ? mCompressor.compress(item.value()) : item.value();
         Integer plainBytes = packs ? item.value().length : null;
         return new ItemMessage(item.key(), value, item.revision(), item.removed(), plainBytes);
     }
@@ -82,7 +82,7 @@
         byte[] value =
                 message.plainBytes() == null
                         ? message.value()
-                        : mPacker.unpack(message.value(), message.plainBytes());
+                        : mCompressor.decompress(message.value(), message.plainBytes());
         return new PublishedItem(message.key(), value, message.revision(), message.removed());
     }
 }
--- a/src/main/java/org/apricotgauge/directory/ParentLink.java
+++ b/src/main/java/org/apricotgauge/directory/ParentLink.java
@@ -14,13 +14,13 @@
 final class ParentLink {
     private final DirectoryFeed.Parts mParts;
     private final DirectoryLog mLog;
-    private final Suspects mSuspects = new Suspects();
-    private final PendingRead mQuestion;
-    private final Runnable mOnStillOld;
-    private ReaderTree mTree = ReaderTree.alone();
+    private final SuspectTracker mSuspects = new SuspectTracker();
+    private final PendingRead mQuery;
+    private final Runnable mOnStillStale;
+    private ReaderTree mTree = ReaderTree.ofSingleNode();
     private Address mNode;
     private Address mConfirmer;
-    private long mNextQuestionMillis;
+    private long mNextQueryMillis;
 
     /**
      * Creates a link to nobody: the platform is read.
@@ -33,12 +33,12 @@
     ParentLink(
             DirectoryFeed.Parts parts,
             DirectoryLog log,
-            PendingRead.OnPage onPage,
+            PendingRead.PageListener onPage,
             Runnable onStillOld) {
         mParts = Checks.notNull("parts", parts);
         mLog = Checks.notNull("log", log);
-        mQuestion = new PendingRead(parts.worker(), onPage);
-        mOnStillOld = Checks.notNull("onStillOld", onStillOld);
+        mQuery = new PendingRead(parts.worker(), onPage);
+        mOnStillStale = Checks.notNull("onStillOld", onStillOld);
     }
 
     /** Returns the node to read from; null for the platform. */
@@ -47,7 +47,7 @@
     }
 
     /** Returns the node to ask for a younger view; null if only the platform can be asked. */
-    Address asked() {
+    Address queriedNode() {
         return mNode == null ? mConfirmer : mNode;
     }
 
@@ -68,20 +68,20 @@
      * @param isStarting whether the node is not open to callers yet
      * @param revision what is known, for the log
      */
-    boolean follow(boolean isStarting, long revision, long nowMillis) {
+    boolean selectNodes(boolean isStarting, long revision, long nowMillis) {
         boolean isHurried = isStarting && !mSuspects.isEmpty();
         Predicate<Address> isSuspect = one -> isHurried || mSuspects.contains(one, nowMillis);
-        Address askedBefore = asked();
+        Address askedBefore = queriedNode();
         Address nodeBefore = mNode;
         mNode = isHurried ? null : mTree.parent(isSuspect).orElse(null);
         mConfirmer = mTree.confirmer(isSuspect).orElse(null);
-        if (!Objects.equals(asked(), askedBefore)) {
-            mQuestion.drop();
+        if (!Objects.equals(queriedNode(), askedBefore)) {
+            mQuery.cancel();
         }
         if (Objects.equals(mNode, nodeBefore)) {
             return false;
         }
-        mLog.readsFrom(mNode, revision);
+        mLog.logParent(mNode, revision);
         return true;
     }
 
@@ -94,38 +94,38 @@
      * @param revision what this node knows
      * @param pauseMillis least time until the next question
      */
-    void ask(long revision, long pauseMillis, long nowMillis) {
-        if (mQuestion.isUnderWay() || nowMillis < mNextQuestionMillis) {
+    void query(long revision, long pauseMillis, long nowMillis) {
+        if (mQuery.isInProgress() || nowMillis < mNextQueryMillis) {
             return;
         }
-        mNextQuestionMillis = nowMillis + pauseMillis;
-        long answerMillis = mParts.times().nodeAnswerMillis();
-        mQuestion.begin(
-                mParts.peers().apply(asked()),
-                new PendingRead.Question(revision, 0),
+        mNextQueryMillis = nowMillis + pauseMillis;
+        long answerMillis = mParts.times().nodeTimeoutMillis();
+        mQuery.start(
+                mParts.peers().apply(queriedNode()),
+                new PendingRead.Query(revision, 0),
                 nowMillis + (mNode == null ? answerMillis : 2 * answerMillis),
-                new QuestionEnd(asked()));
+                new QueryListener(queriedNode()));
     }
 
     /** Passes a node over for a while. */
     void suspect(Address node, String reason) {
-        mLog.peerFailed(node, reason);
-        mSuspects.suspect(node, mParts.ticker().millis());
+        mLog.logPeerFailure(node, reason);
+        mSuspects.recordFailure(node, mParts.ticker().millis());
     }
 
     /** Ends a question that is due. */
     void expire(long nowMillis) {
-        mQuestion.expire(nowMillis);
+        mQuery.expire(nowMillis);
     }
 
     /** Gives a question up. */
-    void drop() {
-        mQuestion.drop();
+    void cancel() {
+        mQuery.cancel();
     }
 
     // One whose page tells no age knows no more of the platform than this node.
-    private void judge(Address node, PublishedPage page) {
-        if (!page.tellsAge()) {
+    private void suspectIfAgeUnknown(Address node, PublishedPage page) {
+        if (!page.isAgeKnown()) {
             suspect(node, "does not tell the age of its view");
         }
     }
@@ -136,11 +136,11 @@
      * @param node the node
      * @param onAnswered runs when it was answered
      */
-    PendingRead.End watchEnd(Address node, Runnable onAnswered) {
-        return new PendingRead.End() {
+    PendingRead.CompletionListener watchListener(Address node, Runnable onAnswered) {
+        return new PendingRead.CompletionListener() {
             @Override
             public void answered(PublishedPage page) {
-                judge(node, page);
+                suspectIfAgeUnknown(node, page);
                 onAnswered.run();
             }
 
@@ -151,30 +151,30 @@
         };
     }
 
-    private final class QuestionEnd implements PendingRead.End {
-        private final Address mAsked;
+    private final class QueryListener implements PendingRead.CompletionListener {
+        private final Address mQueriedNode;
 
-        private QuestionEnd(Address asked) {
-            mAsked = asked;
+        private QueryListener(Address asked) {
+            mQueriedNode = asked;
         }
 
         @Override
         public void answered(PublishedPage page) {
-            judge(mAsked, page);
-            if (page.tellsAge() && page.ageMillis() <= mParts.times().youngMillis()) {
-                mSuspects.trust(mAsked);
+            suspectIfAgeUnknown(mQueriedNode, page);
+            if (page.isAgeKnown() && page.ageMillis() <= mParts.times().maxFreshAgeMillis()) {
+                mSuspects.recordSuccess(mQueriedNode);
                 return;
             }
-            if (mAsked.equals(mConfirmer) && page.tellsAge()) {
-                suspect(mAsked, "its view is no younger");
+            if (mQueriedNode.equals(mConfirmer) && page.isAgeKnown()) {
+                suspect(mQueriedNode, "its view is no younger");
             }
-            mOnStillOld.run();
+            mOnStillStale.run();
         }
 
         @Override
         public void failed(String reason) {
-            suspect(mAsked, reason);
-            mOnStillOld.run();
+            suspect(mQueriedNode, reason);
+            mOnStillStale.run();
         }
     }
 }
--- a/src/main/java/org/apricotgauge/directory/PeerHints.java
+++ b/src/main/java/org/apricotgauge/directory/PeerHints.java
@@ -12,21 +12,21 @@
  */
 final class PeerHints {
     /** Pause between two questions to peers while the platform does not answer. */
-    static final long PAUSE_MILLIS = 400;
+    static final long QUERY_INTERVAL_MILLIS = 400;
 
     private static final int MAX_PEERS = 64;
 
     private final DirectoryFeed.Parts mParts;
     private final DirectoryLog mLog;
-    private final OnPage mOnPage;
+    private final PageListener mPageListener;
     private final List<Address> mPeers = new ArrayList<>();
-    private long mNextQuestionMillis;
-    private long mWakes;
+    private long mNextQueryMillis;
+    private long mPauseCount;
     private volatile Hint mHint = new Hint(0, null, 0);
 
     /** Hears what a peer told. */
     @FunctionalInterface
-    interface OnPage {
+    interface PageListener {
         /**
          * Takes a page.
          *
@@ -34,7 +34,7 @@
          * @param peer who told it
          * @param inTime whether this process was not paused since the question
          */
-        void take(PublishedPage page, Address peer, boolean inTime);
+        void onPage(PublishedPage page, Address peer, boolean inTime);
     }
 
     /**
@@ -46,10 +46,10 @@
      */
     private record Hint(long revision, Address peer, long atMillis) {}
 
-    PeerHints(DirectoryFeed.Parts parts, DirectoryLog log, OnPage onPage) {
+    PeerHints(DirectoryFeed.Parts parts, DirectoryLog log, PageListener onPage) {
         mParts = Checks.notNull("parts", parts);
         mLog = Checks.notNull("log", log);
-        mOnPage = Checks.notNull("onPage", onPage);
+        mPageListener = Checks.notNull("onPage", onPage);
     }
 
     /** Sets the peers that may be asked. */
@@ -71,7 +71,7 @@
     }
 
     /** Returns whether a peer has been ahead for longer than a time; it is then waited anew. */
-    boolean followsAfter(long patienceMillis, long knownRevision, long nowMillis) {
+    boolean consumeDueHint(long patienceMillis, long knownRevision, long nowMillis) {
         Hint hint = mHint;
         boolean lags = hint.revision() > knownRevision;
         if (!lags || nowMillis - hint.atMillis() < patienceMillis) {
@@ -81,7 +81,7 @@
         return true;
     }
 
-    private Address any() {
+    private Address randomPeer() {
         Address hinter = mHint.peer();
         if (mPeers.isEmpty() || (hinter != null && mParts.random().nextBoolean())) {
             return hinter;
@@ -90,37 +90,37 @@
     }
 
     /** Asks the peer that named the newest change, unless one was asked a moment ago. */
-    void askHinter(long revision, long nowMillis) {
-        ask(mHint.peer(), revision, nowMillis);
+    void queryHintedPeer(long revision, long nowMillis) {
+        query(mHint.peer(), revision, nowMillis);
     }
 
     /** Asks the hinter or any other peer, unless one was asked a moment ago. */
-    void askAny(long revision, long nowMillis) {
-        ask(any(), revision, nowMillis);
+    void queryAnyPeer(long revision, long nowMillis) {
+        query(randomPeer(), revision, nowMillis);
     }
 
-    private void ask(Address peer, long revision, long nowMillis) {
-        if (peer == null || nowMillis < mNextQuestionMillis) {
+    private void query(Address peer, long revision, long nowMillis) {
+        if (peer == null || nowMillis < mNextQueryMillis) {
             return;
         }
-        mNextQuestionMillis = nowMillis + PAUSE_MILLIS;
-        long wakes = mWakes;
+        mNextQueryMillis = nowMillis + QUERY_INTERVAL_MILLIS;
+        long wakes = mPauseCount;
         mParts.peers()
                 .apply(peer)
                 .read(revision, 0)
                 .whenCompleteAsync(
                         (page, failure) -> {
                             if (failure == null) {
-                                mOnPage.take(page, peer, wakes == mWakes);
+                                mPageListener.onPage(page, peer, wakes == mPauseCount);
                             } else {
-                                mLog.peerFailed(peer, failure.toString());
+                                mLog.logPeerFailure(peer, failure.toString());
                             }
                         },
                         mParts.worker());
     }
 
     /** This process woke from a pause: an answer may have waited here for as long. */
-    void woke() {
-        mWakes++;
+    void onResumed() {
+        mPauseCount++;
     }
 }
--- a/src/main/java/org/apricotgauge/directory/PendingRead.java
+++ b/src/main/java/org/apricotgauge/directory/PendingRead.java
@@ -15,15 +15,15 @@
  */
 final class PendingRead {
     private final Executor mWorker;
-    private final OnPage mOnPage;
-    private long mNumber;
-    private boolean mUnderWay;
-    private long mDueMillis;
-    private End mEnd;
+    private final PageListener mPageListener;
+    private long mReadNumber;
+    private boolean mIsInProgress;
+    private long mDeadlineMillis;
+    private CompletionListener mCompletionListener;
 
     /** Hears of every page. */
     @FunctionalInterface
-    interface OnPage {
+    interface PageListener {
         /**
          * Takes a page.
          *
@@ -31,11 +31,11 @@
          * @param inTime whether it answers the present read; one that comes late still brings news,
          *     but may have waited anywhere for any time
          */
-        void take(PublishedPage page, boolean inTime);
+        void onPage(PublishedPage page, boolean inTime);
     }
 
     /** Hears how a read ended. */
-    interface End {
+    interface CompletionListener {
         /** It was answered. */
         void answered(PublishedPage page);
 
@@ -49,55 +49,55 @@
      * @param afterRevision revision that the reader has; 0 for none
      * @param waitMillis how long the source may wait for a change; 0 answers at once
      */
-    record Question(long afterRevision, long waitMillis) {}
+    record Query(long afterRevision, long waitMillis) {}
 
     /** Creates a read that is not under way. */
-    PendingRead(Executor worker, OnPage onPage) {
+    PendingRead(Executor worker, PageListener onPage) {
         mWorker = Checks.notNull("worker", worker);
-        mOnPage = Checks.notNull("onPage", onPage);
+        mPageListener = Checks.notNull("onPage", onPage);
     }
 
     /** Returns whether a read has begun that has not ended. */
-    boolean isUnderWay() {
-        return mUnderWay;
+    boolean isInProgress() {
+        return mIsInProgress;
     }
 
     /** Begins a read; the one before, if it is under way, ends unheard. */
-    void begin(PublishedSource source, Question question, long dueMillis, End end) {
-        long number = ++mNumber;
-        mUnderWay = true;
-        mDueMillis = dueMillis;
-        mEnd = end;
+    void start(PublishedSource source, Query question, long dueMillis, CompletionListener end) {
+        long number = ++mReadNumber;
+        mIsInProgress = true;
+        mDeadlineMillis = dueMillis;
+        mCompletionListener = end;
         source.read(question.afterRevision(), question.waitMillis())
-                .whenCompleteAsync((page, failure) -> settle(number, page, failure), mWorker);
+                .whenCompleteAsync((page, failure) -> complete(number, page, failure), mWorker);
     }
 
-    private void settle(long number, PublishedPage page, Throwable failure) {
-        boolean inTime = number == mNumber && mUnderWay;
+    private void complete(long number, PublishedPage page, Throwable failure) {
+        boolean inTime = number == mReadNumber && mIsInProgress;
         if (failure == null) {
-            mOnPage.take(page, inTime);
+            mPageListener.onPage(page, inTime);
         }
         if (!inTime) {
             return;
         }
-        mUnderWay = false;
+        mIsInProgress = false;
         if (failure == null) {
-            mEnd.answered(page);
+            mCompletionListener.answered(page);
         } else {
-            mEnd.failed(failure.toString());
+            mCompletionListener.failed(failure.toString());
         }
     }
 
     /** Ends the read as failed if it is due. */
     void expire(long nowMillis) {
-        if (mUnderWay && nowMillis >= mDueMillis) {
-            mUnderWay = false;
-            mEnd.failed("no answer in time");
+        if (mIsInProgress && nowMillis >= mDeadlineMillis) {
+            mIsInProgress = false;
+            mCompletionListener.failed("no answer in time");
         }
     }
 
     /** Gives the read up; nobody hears of its end. */
-    void drop() {
-        mUnderWay = false;
+    void cancel() {
+        mIsInProgress = false;
     }
 }
--- a/src/main/java/org/apricotgauge/directory/PlatformLink.java
+++ b/src/main/java/org/apricotgauge/directory/PlatformLink.java
@@ -5,18 +5,18 @@
 /**
  * What a node knows of the platform's answering it, and the question that confirms its view.
  *
- * <p>Not thread-safe, but for {@link #isAway}.
+ * <p>Not thread-safe, but for {@link #isUnavailable}.
  */
 final class PlatformLink {
-    private static final long NOT_ASKED = Long.MAX_VALUE;
+    private static final long NOT_QUERIED = Long.MAX_VALUE;
 
     private final DirectoryFeed.Parts mParts;
     private final DirectoryLog mLog;
-    private final PendingRead mQuestion;
-    private final RetryPause mRetryPause;
+    private final PendingRead mQuery;
+    private final RetryBackoff mRetryBackoff;
     private volatile boolean mIsLost;
-    private volatile long mAskedMillis = NOT_ASKED;
-    private long mNextTryMillis;
+    private volatile long mQueriedAtMillis = NOT_QUERIED;
+    private long mNextRetryMillis;
 
     /**
      * Creates a link that is not lost.
@@ -25,11 +25,11 @@
      * @param log takes when the platform is lost and regained
      * @param onPage takes what the platform answers to the question
      */
-    PlatformLink(DirectoryFeed.Parts parts, DirectoryLog log, PendingRead.OnPage onPage) {
+    PlatformLink(DirectoryFeed.Parts parts, DirectoryLog log, PendingRead.PageListener onPage) {
         mParts = Checks.notNull("parts", parts);
         mLog = Checks.notNull("log", log);
-        mQuestion = new PendingRead(parts.worker(), onPage);
-        mRetryPause = new RetryPause(parts.random());
+        mQuery = new PendingRead(parts.worker(), onPage);
+        mRetryBackoff = new RetryBackoff(parts.random());
     }
 
     /** Returns whether the last call to the platform failed. */
@@ -38,60 +38,61 @@
     }
 
     /** Returns whether the last call failed, or the question is unanswered for too long. */
-    boolean isAway() {
-        long askedMillis = mAskedMillis;
+    boolean isUnavailable() {
+        long askedMillis = mQueriedAtMillis;
         return mIsLost
-                || (askedMillis != NOT_ASKED
-                        && mParts.ticker().millis() - askedMillis >= mParts.times().answerMillis());
+                || (askedMillis != NOT_QUERIED
+                        && mParts.ticker().millis() - askedMillis
+                                >= mParts.times().platformTimeoutMillis());
     }
 
     /** Returns when a lost platform is to be tried again. */
-    long nextTryMillis() {
-        return mNextTryMillis;
+    long nextRetryMillis() {
+        return mNextRetryMillis;
     }
 
     /** Asks what changed after a revision; returns false if such a question is under way. */
-    boolean ask(long revision, long nowMillis, PendingRead.End end) {
-        if (mQuestion.isUnderWay()) {
+    boolean query(long revision, long nowMillis, PendingRead.CompletionListener end) {
+        if (mQuery.isInProgress()) {
             return false;
         }
-        mAskedMillis = nowMillis;
-        mQuestion.begin(
+        mQueriedAtMillis = nowMillis;
+        mQuery.start(
                 mParts.platform(),
-                new PendingRead.Question(revision, 0),
-                nowMillis + DirectoryFeed.ANSWER_MILLIS,
+                new PendingRead.Query(revision, 0),
+                nowMillis + DirectoryFeed.ANSWER_TIMEOUT_MILLIS,
                 end);
         return true;
     }
 
     /** Notes an answer, or that others have one. */
-    void answered(long revision) {
-        mAskedMillis = NOT_ASKED;
-        mRetryPause.reset();
+    void recordAnswer(long revision) {
+        mQueriedAtMillis = NOT_QUERIED;
+        mRetryBackoff.reset();
         if (mIsLost) {
             mIsLost = false;
-            mLog.regained(revision);
+            mLog.logPlatformRegained(revision);
         }
     }
 
     /** Notes a call that failed. */
-    void failed(String reason, long revision, ReaderTree tree, long nowMillis) {
-        mAskedMillis = NOT_ASKED;
-        mNextTryMillis = nowMillis + mRetryPause.nextMillis(tree);
+    void recordFailure(String reason, long revision, ReaderTree tree, long nowMillis) {
+        mQueriedAtMillis = NOT_QUERIED;
+        mNextRetryMillis = nowMillis + mRetryBackoff.nextMillis(tree);
         if (!mIsLost) {
             mIsLost = true;
-            mLog.lost(reason, revision);
+            mLog.logPlatformLost(reason, revision);
         }
     }
 
     /** Ends a question that is due. */
     void expire(long nowMillis) {
-        mQuestion.expire(nowMillis);
+        mQuery.expire(nowMillis);
     }
 
     /** Gives a question up. */
-    void drop() {
-        mAskedMillis = NOT_ASKED;
-        mQuestion.drop();
+    void cancel() {
+        mQueriedAtMillis = NOT_QUERIED;
+        mQuery.cancel();
     }
 }
--- a/src/main/java/org/apricotgauge/directory/PlatformTimes.java
+++ b/src/main/java/org/apricotgauge/directory/PlatformTimes.java
@@ -20,7 +20,7 @@
      * Within this time of the platform's return, in milliseconds, a living target is registered
      * again; the platform says about 2 s, and a page of changes may wait for 0.2 s.
      */
-    static final long BACK_MILLIS = 2_200;
+    static final long REGISTRATION_RECOVERY_MILLIS = 2_200;
 
     /** Checks the parts. */
     public PlatformTimes {
@@ -35,7 +35,7 @@
      * nothing to tell. Three quarters of the time that is there leave a quarter for the answer, a
      * late timer and the request's last hop.
      */
-    public long viewBoundMillis() {
+    public long maxViewAgeMillis() {
         return Math.max(1, servesOnMillis * 3 / 4);
     }
 
@@ -44,33 +44,33 @@
      * node, in milliseconds. A younger one would cost a call for nearly every question; an older
      * one would leave the asker too little time before its own bound.
      */
-    long youngMillis() {
-        return Math.max(1, viewBoundMillis() * 3 / 8);
+    long maxFreshAgeMillis() {
+        return Math.max(1, maxViewAgeMillis() * 3 / 8);
     }
 
     /** Returns the age at which a node asks the one that it reads from, in milliseconds. */
-    long askNodeMillis() {
-        return Math.max(1, viewBoundMillis() / 2);
+    long nodeQueryAgeMillis() {
+        return Math.max(1, maxViewAgeMillis() / 2);
     }
 
     /**
      * Returns the age at which a node that reads from another asks the platform itself, in
      * milliseconds: the other and those above it had three eighths of the bound to answer.
      */
-    long askPlatformMillis() {
-        return Math.max(1, viewBoundMillis() * 7 / 8);
+    long platformQueryAgeMillis() {
+        return Math.max(1, maxViewAgeMillis() * 7 / 8);
     }
 
     /** Returns how long one node waits for another's view, and looks again, in milliseconds. */
-    long nodeAnswerMillis() {
-        return Math.max(1, viewBoundMillis() / 8);
+    long nodeTimeoutMillis() {
+        return Math.max(1, maxViewAgeMillis() / 8);
     }
 
     /**
      * Returns up to which age of its view a node sends work to targets, in milliseconds; the rest
      * of the time that targets serve on is left for the request's last hop.
      */
-    long actBoundMillis() {
+    long maxUsableAgeMillis() {
         return Math.max(1, servesOnMillis * 19 / 20);
     }
 
@@ -78,12 +78,12 @@
      * Returns how long the platform may take to confirm a view, in milliseconds; one that takes
      * longer counts as away, before the view is too old to act on.
      */
-    long answerMillis() {
+    long platformTimeoutMillis() {
         return Math.max(1, servesOnMillis * 3 / 20);
     }
 
     /** Returns how long an ended registration is kept at the most while the platform is there. */
-    long keepMillis() {
+    long maxRetentionMillis() {
         return servesOnMillis / 2;
     }
 
@@ -91,7 +91,7 @@
      * Returns how long after a moment at which a registration was still there its target may get
      * work, in milliseconds; a fifth of the time is left for a late timer and the last hop.
      */
-    long worksOnMillis() {
+    long workWindowMillis() {
         return servesOnMillis * 4 / 5;
     }
 
@@ -99,7 +99,7 @@
      * Returns the shortest absence of the platform in which a registration can run out, in
      * milliseconds: the target wrote at most one heartbeat before it, and two more had to fail.
      */
-    long awayMillis() {
+    long minExpiryOutageMillis() {
         return 2 * heartbeatMillis;
     }
 }
--- a/src/main/java/org/apricotgauge/directory/PublishedPage.java
+++ b/src/main/java/org/apricotgauge/directory/PublishedPage.java
@@ -7,13 +7,13 @@
  * What a source answers: all items, or those that changed after a revision.
  *
  * @param revision the revision that the page brings its reader to
- * @param whole whether it holds all items, so that a key that is missing is gone
+ * @param full whether it holds all items, so that a key that is missing is gone
  * @param items the items, oldest change first
  * @param ageMillis how long ago the platform was known to hold nothing newer, in milliseconds;
  *     {@link #UNKNOWN_AGE} if the source cannot say
  */
 public record PublishedPage(
-        long revision, boolean whole, List<PublishedItem> items, long ageMillis) {
+        long revision, boolean full, List<PublishedItem> items, long ageMillis) {
     /** The age of a page that confirms nothing. */
     public static final long UNKNOWN_AGE = -1;
 
@@ -30,12 +30,12 @@
     }
 
     /** Returns whether the source knows since when the page may be out of date. */
-    public boolean tellsAge() {
+    public boolean isAgeKnown() {
         return ageMillis >= 0;
     }
 
     /** Returns the page with the age at which its teller knows it. */
-    public PublishedPage agedMillis(long knownAgeMillis) {
-        return new PublishedPage(revision, whole, items, knownAgeMillis);
+    public PublishedPage withAgeMillis(long knownAgeMillis) {
+        return new PublishedPage(revision, full, items, knownAgeMillis);
     }
 }
--- a/src/main/java/org/apricotgauge/directory/ReaderTree.java
+++ b/src/main/java/org/apricotgauge/directory/ReaderTree.java
@@ -34,12 +34,12 @@
     static final int FAN_OUT = 12;
 
     /** How many nodes of a failure domain are tried first while the platform is away. */
-    private static final int FIRST = 2;
+    private static final int PROBING_NODES = 2;
 
     private final Node mSelf;
-    private final int mNodes;
+    private final int mNodeCount;
     private final List<Address> mOrder;
-    private final List<Address> mFirstOrder;
+    private final List<Address> mFirstDomainOrder;
 
     /**
      * A node of the site.
@@ -63,12 +63,12 @@
      */
     public ReaderTree(Node self, Collection<Node> nodes) {
         mSelf = Checks.notNull("self", self);
-        mNodes = nodes.size();
+        mNodeCount = nodes.size();
         mOrder = orderOf(self.failureDomain(), nodes);
         Set<String> domains = new HashSet<>();
         nodes.forEach(node -> domains.add(node.failureDomain()));
         List<String> order = RendezvousOrder.of("", domains, Function.identity());
-        mFirstOrder = order.isEmpty() ? List.of() : orderOf(order.get(0), nodes);
+        mFirstDomainOrder = order.isEmpty() ? List.of() : orderOf(order.get(0), nodes);
     }
 
     private static List<Address> orderOf(String failureDomain, Collection<Node> nodes) {
@@ -82,7 +82,7 @@
     }
 
     /** Returns the tree of a node that knows no other. */
-    static ReaderTree alone() {
+    static ReaderTree ofSingleNode() {
         return new ReaderTree(new Node(new Address("0.0.0.0", 1), ""), List.of());
     }
 
@@ -111,19 +111,20 @@
      * @param isSuspect tells of nodes that do not answer or that know too little
      */
     public Optional<Address> confirmer(Predicate<Address> isSuspect) {
-        return mFirstOrder.stream()
+        return mFirstDomainOrder.stream()
                 .filter(node -> node.equals(mSelf.guard()) || !isSuspect.test(node))
                 .findFirst()
                 .filter(node -> !node.equals(mSelf.guard()));
     }
 
     /** Returns whether this node is among the first that look whether the platform is back. */
-    public boolean isFirst() {
-        return mOrder.size() < FIRST || mOrder.subList(0, FIRST).contains(mSelf.guard());
+    public boolean probesPlatform() {
+        return mOrder.size() < PROBING_NODES
+                || mOrder.subList(0, PROBING_NODES).contains(mSelf.guard());
     }
 
     /** Returns how many nodes the site has. */
-    public int nodes() {
-        return mNodes;
+    public int nodeCount() {
+        return mNodeCount;
     }
 }
--- a/src/main/java/org/apricotgauge/directory/Registration.java
+++ b/src/main/java/org/apricotgauge/directory/Registration.java
@@ -10,15 +10,16 @@
  * @param target this run of the target, with an id of its own
  * @param leaving whether it said that it leaves
  * @param sequence how often this run of the target had written
- * @param coldMillis how much longer it was slow after its start, when it wrote, in milliseconds
+ * @param coldRemainingMillis how much longer it was slow after its start, when it wrote, in
+ *     milliseconds
  */
 public record Registration(
-        String name, Target target, boolean leaving, long sequence, long coldMillis) {
+        String name, Target target, boolean leaving, long sequence, long coldRemainingMillis) {
 
     /** Checks the parts. */
     public Registration {
         Checks.notBlank("registration.name", name);
         Checks.notNull("registration.target", target);
-        Checks.inRange("registration.coldMillis", coldMillis, 0, Long.MAX_VALUE);
+        Checks.inRange("registration.coldMillis", coldRemainingMillis, 0, Long.MAX_VALUE);
     }
 }
--- a/src/main/java/org/apricotgauge/directory/RetryPause.java
+++ b/src/main/java/org/apricotgauge/directory/RetryBackoff.java
@@ -11,38 +11,38 @@
  * more nodes there are: tried by each node at that pace, a platform that is overloaded would be
  * kept so by the fleet.
  */
-final class RetryPause {
+final class RetryBackoff {
     /** The first pause, in milliseconds. */
-    static final long FIRST_MILLIS = 300;
+    static final long INITIAL_MILLIS = 300;
 
     /** The longest pause of a node that reads for others, in milliseconds. */
-    static final long LONGEST_MILLIS = 600;
+    static final long MAX_MILLIS = 600;
 
     /** What each node of the site adds to the pause of one that reads for none, in milliseconds. */
-    static final long A_NODE_MILLIS = 25;
+    static final long MILLIS_PER_NODE = 25;
 
     private final RandomGenerator mRandom;
-    private long mPauseMillis;
+    private long mDelayMillis;
 
-    RetryPause(RandomGenerator random) {
+    RetryBackoff(RandomGenerator random) {
         mRandom = Checks.notNull("random", random);
     }
 
     /** Begins anew: the platform answered. */
     void reset() {
-        mPauseMillis = 0;
+        mDelayMillis = 0;
     }
 
     /** Returns the next pause, in milliseconds. */
     long nextMillis(ReaderTree tree) {
-        if (!tree.isFirst()) {
-            long meanMillis = tree.nodes() * A_NODE_MILLIS;
-            return FIRST_MILLIS + mRandom.nextLong(2 * meanMillis + 1);
+        if (!tree.probesPlatform()) {
+            long meanMillis = tree.nodeCount() * MILLIS_PER_NODE;
+            return INITIAL_MILLIS + mRandom.nextLong(2 * meanMillis + 1);
         }
-        mPauseMillis =
-                mPauseMillis == 0
-                        ? FIRST_MILLIS
-                        : Math.min(LONGEST_MILLIS, mPauseMillis + FIRST_MILLIS / 2);
-        return mPauseMillis;
+        mDelayMillis =
+                mDelayMillis == 0
+                        ? INITIAL_MILLIS
+                        : Math.min(MAX_MILLIS, mDelayMillis + INITIAL_MILLIS / 2);
+        return mDelayMillis;
     }
 }
--- a/src/main/java/org/apricotgauge/directory/SiteChange.java
+++ b/src/main/java/org/apricotgauge/directory/SiteChange.java
@@ -16,7 +16,7 @@
      * Somebody else wrote over a registration, or wrote one that names no target. Whatever was
      * registered there gets no new work: where it now serves, and whether it does, nobody says.
      */
-    record Unusable(String name, String reason) implements SiteChange {}
+    record InvalidRegistration(String name, String reason) implements SiteChange {}
 
     /** Of no interest to the fleet. */
     record Ignored(String key) implements SiteChange {}
--- a/src/main/java/org/apricotgauge/directory/SiteDirectory.java
+++ b/src/main/java/org/apricotgauge/directory/SiteDirectory.java
@@ -31,7 +31,7 @@
 public final class SiteDirectory {
     /** A registration, and which run registered after which. */
     private record Entry(Registration registration, long order) {
-        static Entry later(Entry one, Entry other) {
+        static Entry newer(Entry one, Entry other) {
             return one.order() > other.order() ? one : other;
         }
     }
@@ -48,8 +48,8 @@
                 }
             };
     private long mNextOrder;
-    private final Map<String, Long> mVanishedUntilMillis = new HashMap<>();
-    private final Consumer<TargetChange> mOnTarget;
+    private final Map<String, Long> mRetainedUntilMillis = new HashMap<>();
+    private final Consumer<TargetChange> mOnTargetChange;
     private PublishedConfiguration mConfiguration;
 
     /** Creates a directory of which nobody hears. */
@@ -59,7 +59,7 @@
 
     /** Creates a directory that tells each step in what is believed of a target. */
     SiteDirectory(Consumer<TargetChange> onTarget) {
-        mOnTarget = Checks.notNull("onTarget", onTarget);
+        mOnTargetChange = Checks.notNull("onTarget", onTarget);
     }
 
     /**
@@ -70,7 +70,7 @@
      * @param keepUntilMillis until when a target keeps its place if its registration has ended
      *     without a word
      */
-    public boolean take(SiteChange change, long nowMillis, long keepUntilMillis) {
+    public boolean apply(SiteChange change, long nowMillis, long keepUntilMillis) {
         if (change instanceof SiteChange.Configured configured) {
             return configure(configured.configuration());
         }
@@ -78,9 +78,9 @@
             return register(registered.registration());
         }
         if (change instanceof SiteChange.Unregistered unregistered) {
-            return vanish(unregistered.name(), nowMillis, keepUntilMillis);
+            return unregister(unregistered.name(), nowMillis, keepUntilMillis);
         }
-        if (change instanceof SiteChange.Unusable unusable) {
+        if (change instanceof SiteChange.InvalidRegistration unusable) {
             return remove(unusable.name());
         }
         return false;
@@ -88,13 +88,13 @@
 
     private boolean remove(String name) {
         Presence before = presenceOf(name);
-        mVanishedUntilMillis.remove(name);
+        mRetainedUntilMillis.remove(name);
         Entry entry = mRegistrations.remove(name);
         if (entry != null) {
             mEnded.remove(name);
             mEnded.put(name, entry.registration());
         }
-        tell(entry, before, Presence.ABSENT);
+        reportChange(entry, before, Presence.ABSENT);
         return entry != null;
     }
 
@@ -103,30 +103,30 @@
         if (entry == null) {
             return Presence.ABSENT;
         }
-        if (mVanishedUntilMillis.containsKey(name)) {
+        if (mRetainedUntilMillis.containsKey(name)) {
             return Presence.ENDED;
         }
         return entry.registration().leaving() ? Presence.LEAVING : Presence.READY;
     }
 
-    private void tell(Entry entry, Presence from, Presence to) {
+    private void reportChange(Entry entry, Presence from, Presence to) {
         if (entry == null || from == to) {
             return;
         }
         Registration known = entry.registration();
-        mOnTarget.accept(
+        mOnTargetChange.accept(
                 new TargetChange(known.name(), known.target().id(), from, to, known.sequence()));
     }
 
     private boolean register(Registration registration) {
-        if (isLateWrite(registration)) {
+        if (isDelayedWrite(registration)) {
             return false;
         }
         Presence before = presenceOf(registration.name());
-        boolean back = mVanishedUntilMillis.remove(registration.name()) != null;
+        boolean back = mRetainedUntilMillis.remove(registration.name()) != null;
         Entry known = mRegistrations.get(registration.name());
         if (known != null && known.registration().equals(registration)) {
-            tell(known, before, presenceOf(registration.name()));
+            reportChange(known, before, presenceOf(registration.name()));
             return back;
         }
         boolean sameRun =
@@ -134,19 +134,19 @@
         long order = sameRun ? known.order() : mNextOrder++;
         Entry entry = new Entry(registration, order);
         mRegistrations.put(registration.name(), entry);
-        tell(entry, before, presenceOf(registration.name()));
+        reportChange(entry, before, presenceOf(registration.name()));
         return true;
     }
 
     // A write that was delayed on its way would undo that the target leaves or has left.
-    private boolean isLateWrite(Registration registration) {
+    private boolean isDelayedWrite(Registration registration) {
         Entry entry = mRegistrations.get(registration.name());
         if (entry == null) {
             return isOlder(registration, mEnded.get(registration.name()));
         }
         boolean isGoing =
                 entry.registration().leaving()
-                        || mVanishedUntilMillis.containsKey(registration.name());
+                        || mRetainedUntilMillis.containsKey(registration.name());
         return isGoing && isOlder(registration, entry.registration());
     }
 
@@ -164,7 +164,7 @@
         return true;
     }
 
-    private boolean vanish(String name, long nowMillis, long keepUntilMillis) {
+    private boolean unregister(String name, long nowMillis, long keepUntilMillis) {
         Entry entry = mRegistrations.get(name);
         if (entry == null) {
             return false;
@@ -173,15 +173,15 @@
             return remove(name);
         }
         Presence before = presenceOf(name);
-        mVanishedUntilMillis.putIfAbsent(name, keepUntilMillis);
-        tell(entry, before, Presence.ENDED);
+        mRetainedUntilMillis.putIfAbsent(name, keepUntilMillis);
+        reportChange(entry, before, Presence.ENDED);
         return false;
     }
 
     /** Removes targets that did not register anew in time; returns whether there were any. */
     public boolean expire(long nowMillis) {
         Set<String> due = new HashSet<>();
-        mVanishedUntilMillis.forEach(
+        mRetainedUntilMillis.forEach(
                 (name, untilMillis) -> {
                     if (untilMillis <= nowMillis) {
                         due.add(name);
@@ -214,7 +214,7 @@
         for (Entry entry : mRegistrations.values()) {
             Target target = entry.registration().target();
             if (services.contains(target.service())) {
-                newest.merge(new Address(target.host(), target.port()), entry, Entry::later);
+                newest.merge(new Address(target.host(), target.port()), entry, Entry::newer);
             }
         }
         List<Registration> registrations = new ArrayList<>(newest.size());
--- a/src/main/java/org/apricotgauge/directory/SiteFold.java
+++ b/src/main/java/org/apricotgauge/directory/SiteState.java
@@ -9,26 +9,27 @@
  *
  * <p>The items may be read from any thread; all else happens on the worker.
  */
-final class SiteFold {
+final class SiteState {
     private final SiteDecoder mDecoder;
     private final DirectoryLog mLog;
-    private final SiteDirectory mDirectory = new SiteDirectory(this::log);
+    private final SiteDirectory mDirectory = new SiteDirectory(this::logTargetChange);
     private final AtomicReference<ItemTable> mItems = new AtomicReference<>(ItemTable.EMPTY);
     private boolean mLogsNewTargets;
 
     /** A decoded item with its revision. */
-    private record Change(SiteChange meaning, long revision) {}
+    private record DecodedChange(SiteChange change, long revision) {}
 
     /**
      * Where a page comes from, and what is known of the time since the page before.
      *
      * @param source the platform, or the node that told it
      * @param viewAgeMillis time since the last confirmation before it
-     * @param keepMillis how long a target keeps its place whose registration ends without a word
+     * @param retentionMillis how long a target keeps its place whose registration ends without a
+     *     word
      */
-    record Origin(String source, long viewAgeMillis, long keepMillis) {}
+    record PageOrigin(String source, long viewAgeMillis, long retentionMillis) {}
 
-    SiteFold(SiteDecoder decoder, DirectoryLog log) {
+    SiteState(SiteDecoder decoder, DirectoryLog log) {
         mDecoder = Checks.notNull("decoder", decoder);
         mLog = Checks.notNull("log", log);
     }
@@ -44,44 +45,46 @@
     }
 
     /** A start reads every target of the site as new; only after it are new ones logged. */
-    void logNewTargets() {
+    void enableNewTargetLogging() {
         mLogsNewTargets = true;
     }
 
     /** Takes a page in; returns whether anything that requests depend on is different. */
-    boolean take(PublishedPage page, Origin origin, long nowMillis) {
+    boolean apply(PublishedPage page, PageOrigin origin, long nowMillis) {
         ItemTable before = mItems.get();
         ItemTable after = before.with(page);
         if (after == before) {
             return false;
         }
         mItems.set(after);
-        mLog.pageRead(origin.source(), page, origin.viewAgeMillis());
-        List<Change> changes = after.changedSince(before).stream().map(this::decode).toList();
+        mLog.logPageSize(origin.source(), page, origin.viewAgeMillis());
+        List<DecodedChange> changes =
+                after.changedSince(before).stream().map(this::decode).toList();
         boolean changed = false;
-        for (Change change : changes) {
-            mLog.reads(
+        for (DecodedChange change : changes) {
+            mLog.setReading(
                     new DirectoryLog.Reading(
                             change.revision(),
                             origin.source(),
                             origin.viewAgeMillis(),
-                            Math.max(0, origin.keepMillis())));
+                            Math.max(0, origin.retentionMillis())));
             changed |=
-                    mDirectory.take(change.meaning(), nowMillis, nowMillis + origin.keepMillis());
+                    mDirectory.apply(
+                            change.change(), nowMillis, nowMillis + origin.retentionMillis());
         }
-        mLog.reads(DirectoryLog.Reading.TIME);
+        mLog.setReading(DirectoryLog.Reading.EXPIRY);
         return changed;
     }
 
-    private Change decode(PublishedItem item) {
+    private DecodedChange decode(PublishedItem item) {
         SiteChange change = mDecoder.decode(item);
-        mLog.decoded(change);
-        return new Change(change, item.revision());
+        mLog.logDecoded(change);
+        return new DecodedChange(change, item.revision());
     }
 
-    private void log(TargetChange change) {
+    private void logTargetChange(TargetChange change) {
         if (change.from() != TargetChange.Presence.ABSENT || mLogsNewTargets) {
-            mLog.believes(change);
+            mLog.logTargetChange(change);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/directory/SiteWatch.java
+++ b/src/main/java/org/apricotgauge/directory/SiteWatch.java
@@ -11,28 +11,28 @@
 final class SiteWatch {
     private final DirectoryFeed.Parts mParts;
     private final PendingRead mRead;
-    private boolean mWaits;
-    private long mNextMillis;
+    private boolean mWaitsForChange;
+    private long mNextStartMillis;
 
-    SiteWatch(DirectoryFeed.Parts parts, PendingRead.OnPage onPage) {
+    SiteWatch(DirectoryFeed.Parts parts, PendingRead.PageListener onPage) {
         mParts = Checks.notNull("parts", parts);
         mRead = new PendingRead(parts.worker(), onPage);
-        mNextMillis = Long.MIN_VALUE;
+        mNextStartMillis = Long.MIN_VALUE;
     }
 
     /** Returns whether a read is to begin. */
     boolean isDue(long nowMillis) {
-        return !mRead.isUnderWay() && nowMillis >= mNextMillis;
+        return !mRead.isInProgress() && nowMillis >= mNextStartMillis;
     }
 
     /** Returns whether a read is under way. */
-    boolean isUnderWay() {
-        return mRead.isUnderWay();
+    boolean isInProgress() {
+        return mRead.isInProgress();
     }
 
     /** Returns whether a read is under way that waits for a change. */
     boolean isWaiting() {
-        return mRead.isUnderWay() && mWaits;
+        return mRead.isInProgress() && mWaitsForChange;
     }
 
     /**
@@ -44,24 +44,24 @@
      * @param nowMillis present time
      * @param end hears how it ended
      */
-    void begin(
+    void start(
             Address node,
             long afterRevision,
             long waitMillis,
             long nowMillis,
-            PendingRead.End end) {
-        mWaits = waitMillis > 0;
-        mRead.begin(
+            PendingRead.CompletionListener end) {
+        mWaitsForChange = waitMillis > 0;
+        mRead.start(
                 node == null ? mParts.platform() : mParts.peers().apply(node),
-                new PendingRead.Question(afterRevision, waitMillis),
-                nowMillis + waitMillis + DirectoryFeed.ANSWER_MILLIS,
+                new PendingRead.Query(afterRevision, waitMillis),
+                nowMillis + waitMillis + DirectoryFeed.ANSWER_TIMEOUT_MILLIS,
                 end);
     }
 
     /** Gives up a read that is under way; the next begins after a pause, in milliseconds. */
     void pause(long pauseMillis) {
-        mRead.drop();
-        mNextMillis = mParts.ticker().millis() + pauseMillis;
+        mRead.cancel();
+        mNextStartMillis = mParts.ticker().millis() + pauseMillis;
     }
 
     /** Ends a read that is due. */
--- a/src/main/java/org/apricotgauge/directory/Suspects.java
+++ b/src/main/java/org/apricotgauge/directory/SuspectTracker.java
@@ -11,38 +11,38 @@
  * is tried by its neighbours less and less, while one that was slow once is back at once. Not
  * thread-safe.
  */
-final class Suspects {
+final class SuspectTracker {
     /** How long a node is passed over after its first failure, in milliseconds. */
-    static final long FIRST_MILLIS = 1_000;
+    static final long INITIAL_MILLIS = 1_000;
 
     /** How long it is passed over at the most, in milliseconds. */
-    static final long LONGEST_MILLIS = 8_000;
+    static final long MAX_MILLIS = 8_000;
 
     private final Map<Address, Suspicion> mSuspicions = new HashMap<>();
 
-    private record Suspicion(long untilMillis, long lengthMillis) {
+    private record Suspicion(long untilMillis, long durationMillis) {
         // Nodes of long ago would stay here for good.
-        boolean isForgottenAt(long nowMillis) {
-            return nowMillis - untilMillis > LONGEST_MILLIS;
+        boolean isExpiredAt(long nowMillis) {
+            return nowMillis - untilMillis > MAX_MILLIS;
         }
     }
 
     /** Notes a failure. */
-    void suspect(Address node, long nowMillis) {
-        mSuspicions.values().removeIf(known -> known.isForgottenAt(nowMillis));
+    void recordFailure(Address node, long nowMillis) {
+        mSuspicions.values().removeIf(known -> known.isExpiredAt(nowMillis));
         mSuspicions.compute(
                 node,
                 (key, known) -> {
                     long lengthMillis =
                             known == null
-                                    ? FIRST_MILLIS
-                                    : Math.min(LONGEST_MILLIS, 2 * known.lengthMillis());
+                                    ? INITIAL_MILLIS
+                                    : Math.min(MAX_MILLIS, 2 * known.durationMillis());
                     return new Suspicion(nowMillis + lengthMillis, lengthMillis);
                 });
     }
 
     /** Notes that a node told what it was asked for. */
-    void trust(Address node) {
+    void recordSuccess(Address node) {
         mSuspicions.remove(node);
     }
 
--- a/src/main/java/org/apricotgauge/directory/ValuePacker.java
+++ b/src/main/java/org/apricotgauge/directory/ValueCompressor.java
@@ -12,27 +12,27 @@
  * <p>The configuration is the one large value, and goes to many readers; so the last one packed or
  * unpacked is kept in both forms, and a node that passes it on compresses nothing. Thread-safe.
  */
-final class ValuePacker {
+final class ValueCompressor {
     /** Smaller values are not worth the work. */
-    static final int LEAST_BYTES = 1_024;
+    static final int MIN_BYTES = 1_024;
 
     /** No value of the platform is as large. */
-    private static final int MOST_BYTES = 8 << 20;
+    private static final int MAX_PLAIN_BYTES = 8 << 20;
 
     private static final int BUFFER_BYTES = 4_096;
 
-    private volatile Both mLast = new Both(new byte[0], new byte[0]);
+    private volatile CachedValue mLast = new CachedValue(new byte[0], new byte[0]);
 
-    private record Both(byte[] plain, byte[] packed) {}
+    private record CachedValue(byte[] plain, byte[] compressed) {}
 
     /** Returns the compressed form of a value. */
-    byte[] pack(byte[] plain) {
-        Both last = mLast;
+    byte[] compress(byte[] plain) {
+        CachedValue last = mLast;
         if (last.plain() == plain) {
-            return last.packed();
+            return last.compressed();
         }
         byte[] packed = deflate(plain);
-        mLast = new Both(plain, packed);
+        mLast = new CachedValue(plain, packed);
         return packed;
     }
 
@@ -58,12 +58,12 @@
      * @param plainBytes length of the value
      * @throws IOException if it is not the form of a value of that length
      */
-    byte[] unpack(byte[] packed, int plainBytes) throws IOException {
-        if (plainBytes < 0 || plainBytes > MOST_BYTES) {
+    byte[] decompress(byte[] packed, int plainBytes) throws IOException {
+        if (plainBytes < 0 || plainBytes > MAX_PLAIN_BYTES) {
             throw new IOException("value of " + plainBytes + " bytes is too large");
         }
         byte[] plain = inflate(packed, plainBytes);
-        mLast = new Both(plain, packed);
+        mLast = new CachedValue(plain, packed);
         return plain;
     }
 
--- a/src/main/java/org/apricotgauge/directory/ViewAge.java
+++ b/src/main/java/org/apricotgauge/directory/ViewAgeTracker.java
@@ -8,27 +8,27 @@
  *
  * <p>Kept by a clock that counts suspensions too. Thread-safe, but for what ticks and reads do.
  */
-final class ViewAge {
+final class ViewAgeTracker {
     /** A longer gap between two ticks counts as a pause of the process. */
-    private static final long PAUSE_MILLIS = 1_500;
+    private static final long PAUSE_THRESHOLD_MILLIS = 1_500;
 
     /** After a pause a node waits so long for somebody to confirm what it knows. */
-    private static final long CONFIRM_MILLIS = 1_000;
+    private static final long CONFIRMATION_TIMEOUT_MILLIS = 1_000;
 
     private final DirectoryFeed.Parts mParts;
     private final SuspendAwareClock mElapsed;
-    private final Confirmations mConfirmations;
-    private final StalenessGate mFreshness;
+    private final ConfirmationTracker mConfirmations;
+    private final StalenessGate mStalenessGate;
     private volatile boolean mWasRead;
 
-    ViewAge(DirectoryFeed.Parts parts, SuspendAwareClock elapsed) {
+    ViewAgeTracker(DirectoryFeed.Parts parts, SuspendAwareClock elapsed) {
         mParts = parts;
         mElapsed = elapsed;
-        mConfirmations = new Confirmations(parts.times(), elapsed.millis());
-        mFreshness =
+        mConfirmations = new ConfirmationTracker(parts.times(), elapsed.millis());
+        mStalenessGate =
                 new StalenessGate(
-                        PAUSE_MILLIS,
-                        CONFIRM_MILLIS,
+                        PAUSE_THRESHOLD_MILLIS,
+                        CONFIRMATION_TIMEOUT_MILLIS,
                         parts.ticker().millis(),
                         parts.wallMillis().getAsLong());
     }
@@ -39,19 +39,19 @@
     }
 
     /** Returns the time since the last confirmation, in milliseconds. */
-    long millis() {
+    long ageMillis() {
         return mConfirmations.ageMillis(mElapsed.millis());
     }
 
     /** Returns the time since the last confirmation that this node read, in milliseconds. */
-    long toldMillis() {
-        return mConfirmations.toldAgeMillis(mElapsed.millis());
+    long reportedMillis() {
+        return mConfirmations.reportedAgeMillis(mElapsed.millis());
     }
 
     /** Returns how long a target keeps its place whose registration is now found to have ended. */
-    long keepMillis() {
+    long retentionMillis() {
         long nowMillis = mElapsed.millis();
-        return mConfirmations.keepsPlaceUntilMillis(nowMillis) - nowMillis;
+        return mConfirmations.retainUntilMillis(nowMillis) - nowMillis;
     }
 
     /** Returns whether anything was ever read that tells its age. */
@@ -60,34 +60,35 @@
     }
 
     /** Returns whether the node has heard something since its last pause, or waited for long. */
-    boolean isAwake() {
-        return mFreshness.mayAct(mParts.ticker().millis(), mParts.wallMillis().getAsLong());
+    boolean mayAct() {
+        return mStalenessGate.mayAct(mParts.ticker().millis(), mParts.wallMillis().getAsLong());
     }
 
     /** Notes that the node runs; returns whether it woke from a pause just now. */
     boolean onTick() {
-        boolean woke = mFreshness.onTick(mParts.ticker().millis(), mParts.wallMillis().getAsLong());
+        boolean woke =
+                mStalenessGate.onTick(mParts.ticker().millis(), mParts.wallMillis().getAsLong());
         if (woke) {
-            mConfirmations.forget();
+            mConfirmations.reset();
         }
         return woke;
     }
 
     /** Notes a page that was read and lacks nothing that the node knows. */
-    void read(PublishedPage page) {
+    void recordRead(PublishedPage page) {
         long nowMillis = mElapsed.millis();
-        mConfirmations.confirmed(nowMillis - page.ageMillis(), nowMillis);
-        mFreshness.onConfirmed();
+        mConfirmations.recordRead(nowMillis - page.ageMillis(), nowMillis);
+        mStalenessGate.onConfirmed();
         mWasRead = true;
     }
 
     /** Notes that another node told that at that time the platform held nothing that is unknown. */
-    void heard(long atMillis) {
-        mConfirmations.heard(atMillis, mElapsed.millis());
+    void recordPeerConfirmation(long atMillis) {
+        mConfirmations.recordPeerConfirmation(atMillis, mElapsed.millis());
     }
 
     /** Notes that at that time the platform answered this node or another. */
-    void answered(long atMillis) {
-        mConfirmations.answered(atMillis, mElapsed.millis());
+    void recordPlatformAnswer(long atMillis) {
+        mConfirmations.recordPlatformAnswer(atMillis, mElapsed.millis());
     }
 }
--- a/src/main/java/org/apricotgauge/directory/NodeReaders.java
+++ b/src/main/java/org/apricotgauge/directory/WaitingReaders.java
@@ -17,9 +17,9 @@
  *
  * <p>Not thread-safe.
  */
-final class NodeReaders {
+final class WaitingReaders {
     /** More than these are answered at once; a node has few children in the tree. */
-    static final int MOST = 256;
+    static final int MAX_WAITING = 256;
 
     private final View mView;
     private final PlatformTimes mTimes;
@@ -34,23 +34,23 @@
         long ageMillis();
 
         /** Returns whether the age is known; a node that has just started or woken can't tell. */
-        boolean knowsAge();
+        boolean isAgeKnown();
 
         /** Asks for a younger view; returns false if nobody can be asked. */
-        boolean makeYounger();
+        boolean requestRefresh();
 
         /** A reader was answered though the view it was told is no younger. */
-        void stayedOld();
+        void onStaleAnswer();
     }
 
     /** One that waits; {@code forChange} or else for a younger view. */
     private record Reader(
             long afterRevision,
-            boolean forChange,
-            long untilMillis,
+            boolean waitsForChange,
+            long deadlineMillis,
             CompletableFuture<PublishedPage> answer) {}
 
-    NodeReaders(View view, PlatformTimes times) {
+    WaitingReaders(View view, PlatformTimes times) {
         mView = Checks.notNull("view", view);
         mTimes = Checks.notNull("times", times);
     }
@@ -63,7 +63,7 @@
      * @param answer takes the answer
      * @param nowMillis present time
      */
-    void ask(
+    void submit(
             long afterRevision,
             long waitMillis,
             CompletableFuture<PublishedPage> answer,
@@ -72,41 +72,41 @@
         long patienceMillis =
                 forChange
                         ? Math.min(waitMillis, DirectoryFeed.WATCH_MILLIS)
-                        : mTimes.nodeAnswerMillis();
+                        : mTimes.nodeTimeoutMillis();
         Reader reader = new Reader(afterRevision, forChange, nowMillis + patienceMillis, answer);
-        boolean isReady = isSatisfied(reader) || mWaiting.size() >= MOST;
-        if (isReady || (!forChange && !mView.makeYounger())) {
-            tell(reader);
+        boolean isReady = isSatisfied(reader) || mWaiting.size() >= MAX_WAITING;
+        if (isReady || (!forChange && !mView.requestRefresh())) {
+            answer(reader);
         } else {
             mWaiting.add(reader);
         }
     }
 
     private boolean isSatisfied(Reader reader) {
-        return reader.forChange()
-                ? mView.items().hasNewsFor(reader.afterRevision())
-                : mView.knowsAge() && mView.ageMillis() <= mTimes.youngMillis();
+        return reader.waitsForChange()
+                ? mView.items().hasChangesFor(reader.afterRevision())
+                : mView.isAgeKnown() && mView.ageMillis() <= mTimes.maxFreshAgeMillis();
     }
 
     /** Answers whoever has what it waits for, or has waited for long enough. */
-    void answer(long nowMillis) {
-        takeIf(this::isSatisfied).forEach(this::tell);
-        List<Reader> late = takeIf(reader -> nowMillis >= reader.untilMillis());
-        late.forEach(this::tell);
-        if (late.stream().anyMatch(reader -> !reader.forChange())) {
-            mView.stayedOld();
+    void answerDue(long nowMillis) {
+        removeIf(this::isSatisfied).forEach(this::answer);
+        List<Reader> late = removeIf(reader -> nowMillis >= reader.deadlineMillis());
+        late.forEach(this::answer);
+        if (late.stream().anyMatch(reader -> !reader.waitsForChange())) {
+            mView.onStaleAnswer();
         }
     }
 
-    private List<Reader> takeIf(Predicate<Reader> isDue) {
+    private List<Reader> removeIf(Predicate<Reader> isDue) {
         List<Reader> due = mWaiting.stream().filter(isDue).toList();
         mWaiting.removeAll(due);
         return due;
     }
 
-    private void tell(Reader reader) {
-        long ageMillis = mView.knowsAge() ? mView.ageMillis() : PublishedPage.UNKNOWN_AGE;
+    private void answer(Reader reader) {
+        long ageMillis = mView.isAgeKnown() ? mView.ageMillis() : PublishedPage.UNKNOWN_AGE;
         PublishedPage page = mView.items().changesAfter(reader.afterRevision());
-        reader.answer().complete(page.agedMillis(ageMillis));
+        reader.answer().complete(page.withAgeMillis(ageMillis));
     }
 }
--- a/src/main/java/org/apricotgauge/node/DirectoryControl.java
+++ b/src/main/java/org/apricotgauge/node/DirectoryControl.java
@@ -68,7 +68,7 @@
             PlatformTimes times) {
         mParts = parts;
         mDefaults = defaults;
-        mMaxAgeMillis = times.viewBoundMillis();
+        mMaxAgeMillis = times.maxViewAgeMillis();
         mFeed =
                 new DirectoryFeed(
                         new DirectoryFeed.Parts(
@@ -222,7 +222,7 @@
 
     @Override
     public CompletableFuture<Void> opened() {
-        return mFeed.opened();
+        return mFeed.ready();
     }
 
     @Override
@@ -275,7 +275,7 @@
 
     @Override
     public void beforeAcknowledgement(HttpFields.Mutable headers) {
-        SiteView view = mFeed.toldView();
+        SiteView view = mFeed.reportedView();
         if (tellsAge(view)) {
             headers.put(
                     HeaderNames.SITE_VIEW,
@@ -320,7 +320,7 @@
         try {
             long revision = Long.parseLong(text, 0, at, 10);
             long ageMillis = Long.parseLong(text, at + 1, text.length(), 10);
-            mFeed.confirm(new SiteView(revision, ageMillis), askedMillis);
+            mFeed.recordPeerView(new SiteView(revision, ageMillis), askedMillis);
         } catch (IllegalArgumentException e) {
             mParts.metrics().counter(UNREADABLE).inc();
         }
@@ -329,7 +329,7 @@
     @Override
     public CompletableFuture<byte[]> published(
             long afterRevision, long waitMillis, boolean compressed) {
-        return mFeed.published(afterRevision, waitMillis)
+        return mFeed.changesForNode(afterRevision, waitMillis)
                 .thenApply(page -> mCodec.encode(page, compressed));
     }
 
--- a/src/main/java/org/apricotgauge/platform/kv/KvDecoder.java
+++ b/src/main/java/org/apricotgauge/platform/kv/KvDecoder.java
@@ -160,7 +160,7 @@
                             status.sequence(),
                             status.coldRemainingMs()));
         } catch (IOException | RuntimeException e) {
-            return new SiteChange.Unusable(name, e.toString());
+            return new SiteChange.InvalidRegistration(name, e.toString());
         }
     }
 
--- a/src/main/java/org/apricotgauge/platform/kv/KvSource.java
+++ b/src/main/java/org/apricotgauge/platform/kv/KvSource.java
@@ -121,7 +121,7 @@
                             PublishedPage page = new PublishedPage(at, true, read);
                             return CompletableFuture.completedFuture(
                                     consistency == Consistency.STALE
-                                            ? page.agedMillis(PublishedPage.UNKNOWN_AGE)
+                                            ? page.withAgeMillis(PublishedPage.UNKNOWN_AGE)
                                             : page);
                         });
     }
--- a/src/test/java/org/apricotgauge/directory/AgedSourceTest.java
+++ b/src/test/java/org/apricotgauge/directory/AgeAdjustingSourceTest.java
@@ -8,11 +8,11 @@
 import org.apricotgauge.time.SuspendAwareClock;
 import org.junit.jupiter.api.Test;
 
-class AgedSourceTest {
+class AgeAdjustingSourceTest {
     private final ManualTicker mTicker = new ManualTicker();
     private final CompletableFuture<PublishedPage> mAnswer = new CompletableFuture<>();
-    private final AgedSource mSource =
-            new AgedSource(
+    private final AgeAdjustingSource mSource =
+            new AgeAdjustingSource(
                     (after, waitMillis) -> mAnswer,
                     new SuspendAwareClock(mTicker, mTicker::millis));
 
@@ -24,19 +24,19 @@
     }
 
     @Test
-    void anAnswerIsAsOldAsItsQuestionAtLeast() {
+    void addsTimeSinceRequestToAge() {
         // The platform is slow and answers after 250 ms; its answer may have been on its way for
         // all of them, and a target may have left meanwhile.
         assertThat(readFor(0, 30).ageMillis()).isEqualTo(280);
     }
 
     @Test
-    void aWatchIsAsOldAsItsBeginAtLeast() {
+    void addsTimeSinceStartOfWatchToAge() {
         assertThat(readFor(10_000, 30).ageMillis()).isEqualTo(280);
     }
 
     @Test
-    void anUnknownAgeStaysUnknown() {
-        assertThat(readFor(0, PublishedPage.UNKNOWN_AGE).tellsAge()).isFalse();
+    void keepsUnknownAge() {
+        assertThat(readFor(0, PublishedPage.UNKNOWN_AGE).isAgeKnown()).isFalse();
     }
 }
--- a/src/test/java/org/apricotgauge/directory/ConfirmationFleetTest.java
+++ b/src/test/java/org/apricotgauge/directory/ConfirmationSimulationTest.java
@@ -14,15 +14,15 @@
  * how old the view of the node that gives them is, and ask the platform when their own becomes too
  * old. All watches are silent, which is the worst case: nothing but questions confirms anything.
  */
-class ConfirmationFleetTest {
+class ConfirmationSimulationTest {
     private static final PlatformTimes TIMES = new PlatformTimes(2_000, 1_500);
     private static final long TICK_MILLIS = 100;
-    private static final long PLATFORM_MILLIS = 4;
+    private static final long PLATFORM_LATENCY_MILLIS = 4;
 
-    private static final long HOP_MILLIS = 4;
+    private static final long HOP_LATENCY_MILLIS = 4;
 
     /** A node tells its view's age in one acknowledgement in this time at the most. */
-    private static final long TELL_EVERY_MILLIS = 10;
+    private static final long REPORT_INTERVAL_MILLIS = 10;
 
     /** The fleet finds its pace in the first seconds. */
     private static final long WARM_UP_MILLIS = 2_000;
@@ -35,34 +35,34 @@
      * @param callsPerSecond calls of the whole fleet to the platform
      * @param oldestMillis greatest age of any node's view
      */
-    private record Shown(double callsPerSecond, long oldestMillis) {}
+    private record SimulationResult(double callsPerSecond, long oldestMillis) {}
 
     private static final class FleetModel {
         private final SplittableRandom mRandom;
         private final int mNodes;
-        private final List<Confirmations> mViews = new ArrayList<>();
-        private final long[] mAskAtAgeMillis;
+        private final List<ConfirmationTracker> mViews = new ArrayList<>();
+        private final long[] mQueryAtAgeMillis;
         private final long[] mAnsweredAtMillis;
-        private final long[] mToldAtMillis;
+        private final long[] mReportedAtMillis;
 
         FleetModel(int nodes, long seed) {
             mRandom = new SplittableRandom(seed);
             mNodes = nodes;
-            mAskAtAgeMillis = new long[nodes];
+            mQueryAtAgeMillis = new long[nodes];
             mAnsweredAtMillis = new long[nodes];
-            mToldAtMillis = new long[nodes];
+            mReportedAtMillis = new long[nodes];
             for (int node = 0; node < nodes; node++) {
-                mViews.add(new Confirmations(TIMES, 0));
-                mAskAtAgeMillis[node] = draw();
+                mViews.add(new ConfirmationTracker(TIMES, 0));
+                mQueryAtAgeMillis[node] = drawQueryAgeMillis();
                 mAnsweredAtMillis[node] = Long.MAX_VALUE;
             }
         }
 
-        private long draw() {
-            return mRandom.nextLong(TIMES.viewBoundMillis() / 2, TIMES.viewBoundMillis() + 1);
+        private long drawQueryAgeMillis() {
+            return mRandom.nextLong(TIMES.maxViewAgeMillis() / 2, TIMES.maxViewAgeMillis() + 1);
         }
 
-        Shown run(double requestsPerNodeAndSecond, long millis) {
+        SimulationResult run(double requestsPerNodeAndSecond, long millis) {
             long calls = 0;
             long oldestMillis = 0;
             double owed = 0;
@@ -70,45 +70,45 @@
                 for (owed += mNodes * requestsPerNodeAndSecond / MILLIS_PER_SECOND;
                         owed >= 1;
                         owed--) {
-                    exchange(now);
+                    simulateRequest(now);
                 }
-                long asked = ask(now);
+                long asked = queryPlatform(now);
                 if (now > WARM_UP_MILLIS) {
                     calls += asked;
                     oldestMillis = Math.max(oldestMillis, oldestMillis(now));
                 }
             }
-            return new Shown(calls * (double) MILLIS_PER_SECOND / millis, oldestMillis);
+            return new SimulationResult(calls * (double) MILLIS_PER_SECOND / millis, oldestMillis);
         }
 
         /** One request between two nodes, with its acknowledgement. */
-        private void exchange(long now) {
+        private void simulateRequest(long now) {
             int entry = mRandom.nextInt(mNodes);
             int guard = mRandom.nextInt(mNodes);
-            tell(guard, entry, now);
+            reportAge(guard, entry, now);
         }
 
-        private void tell(int from, int to, long now) {
-            long ageMillis = mViews.get(from).toldAgeMillis(now);
-            boolean isDue = now - mToldAtMillis[from] >= TELL_EVERY_MILLIS;
-            if (isDue && ageMillis < TIMES.viewBoundMillis()) {
-                mToldAtMillis[from] = now;
-                mViews.get(to).heard(now - HOP_MILLIS - ageMillis, now);
+        private void reportAge(int from, int to, long now) {
+            long ageMillis = mViews.get(from).reportedAgeMillis(now);
+            boolean isDue = now - mReportedAtMillis[from] >= REPORT_INTERVAL_MILLIS;
+            if (isDue && ageMillis < TIMES.maxViewAgeMillis()) {
+                mReportedAtMillis[from] = now;
+                mViews.get(to).recordPeerConfirmation(now - HOP_LATENCY_MILLIS - ageMillis, now);
             }
         }
 
-        private long ask(long now) {
+        private long queryPlatform(long now) {
             long asked = 0;
             for (int node = 0; node < mNodes; node++) {
                 if (mAnsweredAtMillis[node] <= now) {
                     mAnsweredAtMillis[node] = Long.MAX_VALUE;
-                    mViews.get(node).confirmed(now, now);
+                    mViews.get(node).recordRead(now, now);
                 }
                 boolean ticks = (now + node) % TICK_MILLIS == 0;
                 boolean waits = mAnsweredAtMillis[node] != Long.MAX_VALUE;
-                if (ticks && !waits && mViews.get(node).ageMillis(now) >= mAskAtAgeMillis[node]) {
-                    mAskAtAgeMillis[node] = draw();
-                    mAnsweredAtMillis[node] = now + PLATFORM_MILLIS;
+                if (ticks && !waits && mViews.get(node).ageMillis(now) >= mQueryAtAgeMillis[node]) {
+                    mQueryAtAgeMillis[node] = drawQueryAgeMillis();
+                    mAnsweredAtMillis[node] = now + PLATFORM_LATENCY_MILLIS;
                     asked++;
                 }
             }
@@ -121,34 +121,35 @@
     }
 
     @Test
-    void aSmallSiteStaysYoungForFewerCallsThanANodeAlone() {
-        Shown shared = new FleetModel(24, 1).run(5.6, 60_000);
-        Shown alone = new FleetModel(24, 1).run(0, 60_000);
-
-        report("24 nodes", shared);
-        report("24 nodes that tell each other nothing", alone);
-        assertYoung(shared);
-        assertYoung(alone);
+    void sharedAgesReducePlatformCallsOfSmallSite() {
+        SimulationResult shared = new FleetModel(24, 1).run(5.6, 60_000);
+        SimulationResult alone = new FleetModel(24, 1).run(0, 60_000);
+
+        print("24 nodes", shared);
+        print("24 nodes that tell each other nothing", alone);
+        assertFresh(shared);
+        assertFresh(alone);
         assertThat(shared.callsPerSecond()).isLessThan(alone.callsPerSecond());
     }
 
     @Test
-    void theFleetOfTwoYearsFromNowKeepsToThePlatformsRate() {
+    void largeFleetStaysWithinPlatformRate() {
         // 7,100 nodes with 239 requests a second each; the platform serves 2,000 calls a second to
         // all of them, of which waiting watches of 10 s take 710.
-        Shown shown = new FleetModel(7_100, 2).run(239, 1_500);
+        SimulationResult shown = new FleetModel(7_100, 2).run(239, 1_500);
 
-        report("7,100 nodes", shown);
-        assertYoung(shown);
+        print("7,100 nodes", shown);
+        assertFresh(shown);
         assertThat(shown.callsPerSecond()).isLessThan(2_000 - 710);
     }
 
-    private static void assertYoung(Shown shown) {
+    private static void assertFresh(SimulationResult shown) {
         assertThat(shown.oldestMillis())
-                .isLessThanOrEqualTo(TIMES.viewBoundMillis() + TICK_MILLIS + PLATFORM_MILLIS);
+                .isLessThanOrEqualTo(
+                        TIMES.maxViewAgeMillis() + TICK_MILLIS + PLATFORM_LATENCY_MILLIS);
     }
 
-    private static void report(String fleet, Shown shown) {
+    private static void print(String fleet, SimulationResult shown) {
         System.out.printf(
                 "%s: %.1f calls a second, oldest view %d ms%n",
                 fleet, shown.callsPerSecond(), shown.oldestMillis());
--- a/src/test/java/org/apricotgauge/directory/DirectoryFeedTest.java
+++ b/src/test/java/org/apricotgauge/directory/DirectoryFeedTest.java
@@ -64,28 +64,28 @@
     }
 
     @Test
-    void opensWithTheFirstConfigurationAndThenWatches() {
+    void becomesReadyWithFirstConfigurationAndThenWatches() {
         mFeed.start();
         assertThat(mFeed.mayAct()).isFalse();
 
         mPlatform.answer(5, true, config(5, 1), target("a", 4));
 
-        assertThat(mFeed.opened()).isDone();
+        assertThat(mFeed.ready()).isDone();
         assertThat(mFeed.mayAct()).isTrue();
         assertThat(mSite.registrations()).hasSize(1);
-        pass(DirectoryFeed.GAP_MILLIS);
+        advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
         assertThat(mPlatform.last().after()).isEqualTo(5);
         assertThat(mPlatform.last().waitMillis()).isEqualTo(DirectoryFeed.WATCH_MILLIS);
     }
 
     @Test
-    void aFreshNodeThatThePlatformTurnsAwayOpensByAPeer() {
+    void newNodeRefusedByPlatformBecomesReadyFromPeer() {
         // The platform refuses this node and serves the others. The node knows nobody, until the
         // first hop of another entry tells its address; its callers would be refused all the while.
         mFeed.start();
         mPlatform.fail();
         mFeed.hint(5, PEER);
-        pass(100);
+        advance(100);
 
         mPeer.answer(5, true, config(5, 1), target("a", 4));
 
@@ -94,16 +94,16 @@
     }
 
     @Test
-    void aWatchThatWentSilentIsFoundOutByAHop() {
+    void hintRevealsSilentWatch() {
         // Something between node and platform dropped the connection without a reset. The node
         // would route by the old version until the watch runs out, while others know the new one.
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
-        pass(DirectoryFeed.GAP_MILLIS);
+        advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
         int calls = mPlatform.mCalls.size();
 
         mFeed.hint(9, PEER);
-        pass(DirectoryFeed.HINT_PATIENCE_MILLIS);
+        advance(DirectoryFeed.HINT_DELAY_MILLIS);
 
         assertThat(mPlatform.mCalls).hasSize(calls + 1);
         assertThat(mPlatform.last().waitMillis()).isZero();
@@ -112,31 +112,31 @@
     }
 
     @Test
-    void anAnswerThatComesTooLateIsAFailureAndIsAskedForAgain() {
+    void timedOutAnswerIsRetried() {
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
-        pass(DirectoryFeed.GAP_MILLIS);
+        advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
         int calls = mPlatform.mCalls.size();
 
-        pass(TIMES.viewBoundMillis());
+        advance(TIMES.maxViewAgeMillis());
         assertThat(mPlatform.mCalls).hasSize(calls + 1);
-        pass(DirectoryFeed.ANSWER_MILLIS + RetryPause.FIRST_MILLIS);
+        advance(DirectoryFeed.ANSWER_TIMEOUT_MILLIS + RetryBackoff.INITIAL_MILLIS);
 
         assertThat(mPlatform.mCalls).hasSize(calls + 2);
         assertThat(mPlatform.last().waitMillis()).isZero();
     }
 
     @Test
-    void afterASuspensionNothingIsDoneUntilSomebodyConfirms() {
+    void suspendedNodeWaitsForConfirmation() {
         // The VM stood still for ten seconds, and the steady clock with it. What the node knows of
         // targets that left meanwhile is old; a booking would go to an address of another service.
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
-        pass(DirectoryFeed.GAP_MILLIS);
+        advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
 
         mSuspendedMillis = 10_000;
         assertThat(mFeed.mayAct()).isFalse();
-        pass(100);
+        advance(100);
         assertThat(mFeed.mayAct()).isFalse();
 
         mPlatform.answer(5, false);
@@ -145,14 +145,14 @@
     }
 
     @Test
-    void aChangeBetweenTwoPagesOfAWholeReadIsNoticedThoughALaterPageIsNewer() {
+    void detectsChangeMadeBetweenPagesOfFullRead() {
         // A site of many targets is read in pages, which are no snapshot: while the node asks for
         // the second page, a target of the first says that it leaves. The second page holds a
         // newer change, of another target; the watch then brings the older one. Passed over as
         // known, it would leave a target in use that has left.
         mFeed.start();
         mPlatform.answer(10, true, config(5, 1), target("a", 4), target("z", 12));
-        pass(DirectoryFeed.GAP_MILLIS);
+        advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
 
         mPlatform.answer(12, false, leaving("a", 11), target("z", 12));
 
@@ -163,32 +163,32 @@
     }
 
     @Test
-    void aChangeThatLeftNoTraceIsNotAskedForAgainAndAgain() {
+    void changeWithoutRemainingItemIsNotRequestedRepeatedly() {
         // The platform forgot its history, in which a target came and went. A node that read all
         // anew knows no item as new as the revision that its peers name on every hop. It lacks
         // nothing, and must not call the platform five times a second until the next change.
         mFeed.start();
         mPlatform.answer(12, true, config(5, 1));
-        pass(DirectoryFeed.GAP_MILLIS);
+        advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
         int calls = mPlatform.mCalls.size();
 
         mFeed.hint(12, PEER);
-        pass(DirectoryFeed.HINT_PATIENCE_MILLIS);
+        advance(DirectoryFeed.HINT_DELAY_MILLIS);
 
         assertThat(mPlatform.mCalls).hasSize(calls);
     }
 
     @Test
-    void anAnswerThatAPeersPageOvertookConfirmsNothing() {
+    void answerOlderThanPeerPageDoesNotConfirm() {
         // The platform's answer to a watch is held up on its way. Meanwhile a peer tells of a later
         // change. The answer, when it comes, tells how things were long ago; taken for news of this
         // moment, it would make the node and all who hear it trust an old view.
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
-        pass(DirectoryFeed.GAP_MILLIS);
+        advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
         FakeSource.Call watch = mPlatform.last();
         mFeed.hint(9, PEER);
-        pass(DirectoryFeed.HINT_PATIENCE_MILLIS);
+        advance(DirectoryFeed.HINT_DELAY_MILLIS);
         mPeer.answer(9, false, config(9, 2));
         long ageMillis = mFeed.view().ageMillis();
 
@@ -198,31 +198,31 @@
     }
 
     @Test
-    void aPeersWordConfirmsWhatThisNodeKnowsToo() {
+    void peerViewConfirmsKnownRevision() {
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
-        pass(700);
+        advance(700);
 
         long askedMillis = mFeed.elapsedMillis();
-        mFeed.confirm(new SiteView(6, 100), askedMillis);
+        mFeed.recordPeerView(new SiteView(6, 100), askedMillis);
         assertThat(mFeed.view().ageMillis()).isEqualTo(700);
-        mFeed.confirm(new SiteView(5, 100), askedMillis);
+        mFeed.recordPeerView(new SiteView(5, 100), askedMillis);
         assertThat(mFeed.view().ageMillis()).isEqualTo(100);
-        mFeed.confirm(new SiteView(5, 300), askedMillis);
+        mFeed.recordPeerView(new SiteView(5, 300), askedMillis);
 
         assertThat(mFeed.view().ageMillis()).isEqualTo(100);
     }
 
     /** Guards against work sent by what was known before a pause, when targets may have left. */
     @Test
-    void aNodeThatWokeSendsNoWorkUntilItsViewIsConfirmed() {
+    void resumedNodeSendsNoWorkUntilViewIsConfirmed() {
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
-        pass(100);
+        advance(100);
         assertThat(mFeed.isCurrent()).isTrue();
 
         mSuspendedMillis += 5_000;
-        pass(100);
+        advance(100);
         assertThat(mFeed.isCurrent()).isFalse();
 
         mPlatform.answer(5, false);
@@ -230,20 +230,20 @@
     }
 
     @Test
-    void aFeedThatIsClosedCallsNobody() {
+    void closedFeedSendsNoRequests() {
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
-        pass(DirectoryFeed.GAP_MILLIS);
+        advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
         int calls = mPlatform.mCalls.size();
 
         mFeed.close();
-        pass(2 * DirectoryFeed.WATCH_MILLIS);
+        advance(2 * DirectoryFeed.WATCH_MILLIS);
 
         assertThat(mPlatform.mCalls).hasSize(calls);
     }
 
     /** Lets time pass as the node's worker sees it. */
-    private void pass(long millis) {
+    private void advance(long millis) {
         long left = millis;
         while (left > 0) {
             long step = Math.min(left, 100);
--- a/src/test/java/org/apricotgauge/directory/FakePlatform.java
+++ b/src/test/java/org/apricotgauge/directory/FakePlatform.java
@@ -11,10 +11,10 @@
     private final Ticker mTicker;
     private final List<PublishedItem> mItems = new ArrayList<>();
     private final List<Watch> mWaiting = new ArrayList<>();
-    private final List<Delivery> mUnderWay = new ArrayList<>();
+    private final List<Delivery> mDeliveries = new ArrayList<>();
     private long mRevision;
-    private long mWayMillis;
-    private boolean mAway;
+    private long mLatencyMillis;
+    private boolean mUnavailable;
     private boolean mSilent;
 
     private record Watch(
@@ -29,7 +29,7 @@
 
     @Override
     public CompletableFuture<PublishedPage> read(long afterRevision, long waitMillis) {
-        if (mAway) {
+        if (mUnavailable) {
             return CompletableFuture.failedFuture(new IOException("refused"));
         }
         Watch watch =
@@ -56,13 +56,13 @@
     }
 
     /** Loses the connections that are open, without a sign; new ones work. */
-    void silence() {
+    void dropWatches() {
         mWaiting.clear();
     }
 
     /** Refuses all calls from now on, and drops those that wait; or serves again. */
-    void setAway(boolean away) {
-        mAway = away;
+    void setUnavailable(boolean away) {
+        mUnavailable = away;
         if (away) {
             List<Watch> dropped = List.copyOf(mWaiting);
             mWaiting.clear();
@@ -78,8 +78,8 @@
     }
 
     /** Lets each answer be on its way for a time from now on. */
-    void setWay(long millis) {
-        mWayMillis = millis;
+    void setLatency(long millis) {
+        mLatencyMillis = millis;
     }
 
     /** Answers what has something to tell or has waited for long enough. */
@@ -101,14 +101,14 @@
     }
 
     private void answer(Watch watch) {
-        long atMillis = mTicker.millis() + mWayMillis;
-        mUnderWay.add(new Delivery(atMillis, page(watch.afterRevision()), watch.answer()));
+        long atMillis = mTicker.millis() + mLatencyMillis;
+        mDeliveries.add(new Delivery(atMillis, page(watch.afterRevision()), watch.answer()));
     }
 
     private void deliverDue() {
         List<Delivery> due =
-                mUnderWay.stream().filter(one -> one.atMillis() <= mTicker.millis()).toList();
-        mUnderWay.removeAll(due);
+                mDeliveries.stream().filter(one -> one.atMillis() <= mTicker.millis()).toList();
+        mDeliveries.removeAll(due);
         due.forEach(one -> one.answer().complete(one.page()));
     }
 
--- a/src/test/java/org/apricotgauge/directory/ItemTableTest.java
+++ b/src/test/java/org/apricotgauge/directory/ItemTableTest.java
@@ -9,19 +9,19 @@
 class ItemTableTest {
 
     @Test
-    void aStalePageChangesNothing() {
-        ItemTable table = ItemTable.EMPTY.with(whole(10, item("a", 9)));
+    void ignoresStalePage() {
+        ItemTable table = ItemTable.EMPTY.with(fullPage(10, item("a", 9)));
 
-        assertThat(table.with(whole(8, item("a", 7)))).isSameAs(table);
+        assertThat(table.with(fullPage(8, item("a", 7)))).isSameAs(table);
         assertThat(table.with(changes(9, item("a", 8)))).isSameAs(table);
     }
 
     @Test
-    void aKeyThatIsMissingFromAWholePageIsGone() {
+    void fullPageRemovesMissingKeys() {
         // The platform has forgotten its history, so that no event tells of the removal.
-        ItemTable table = ItemTable.EMPTY.with(whole(10, item("a", 9), item("b", 10)));
+        ItemTable table = ItemTable.EMPTY.with(fullPage(10, item("a", 9), item("b", 10)));
 
-        ItemTable later = table.with(whole(20, item("a", 9)));
+        ItemTable later = table.with(fullPage(20, item("a", 9)));
 
         assertThat(later.item("b").removed()).isTrue();
         assertThat(later.changesAfter(10).items())
@@ -30,18 +30,18 @@
     }
 
     @Test
-    void changesAloneTellNothingToANodeThatKnowsNothing() {
-        assertThat(ItemTable.EMPTY.with(changes(5, item("a", 5))).isKnown()).isFalse();
+    void ignoresChangesBeforeFirstFullPage() {
+        assertThat(ItemTable.EMPTY.with(changes(5, item("a", 5))).isInitialized()).isFalse();
     }
 
     @Test
-    void aPeerThatLagsCatchesUpByTheChanges() {
-        ItemTable old = ItemTable.EMPTY.with(whole(10, item("a", 9), item("b", 10)));
+    void laggingPeerCatchesUpFromChanges() {
+        ItemTable old = ItemTable.EMPTY.with(fullPage(10, item("a", 9), item("b", 10)));
         ItemTable ahead = old.with(changes(12, item("a", 11), PublishedItem.removed("b", 12)));
 
         ItemTable caughtUp = old.with(ahead.changesAfter(old.revision()));
 
-        assertThat(caughtUp.newest()).isEqualTo(12);
+        assertThat(caughtUp.newestRevision()).isEqualTo(12);
         assertThat(caughtUp.item("a").revision()).isEqualTo(11);
         assertThat(caughtUp.item("b").removed()).isTrue();
     }
@@ -51,12 +51,12 @@
     }
 
     @Test
-    void aReaderThatKnowsAKeyWhoseEndThisNodeDidNotSeeIsToldEverything() {
+    void sendsFullPageIfRemovalBeforeFirstReadWasNotSeen() {
         // A node starts, and reads the site after a target has left and its key is gone. Another
         // that still knows the target asks for the changes since; told only those, it would send
         // requests there for good.
-        ItemTable table = ItemTable.EMPTY.with(whole(9, item("a", 3)));
-        ItemTable asker = ItemTable.EMPTY.with(whole(5, item("a", 3), item("gone", 5)));
+        ItemTable table = ItemTable.EMPTY.with(fullPage(9, item("a", 3)));
+        ItemTable asker = ItemTable.EMPTY.with(fullPage(5, item("a", 3), item("gone", 5)));
 
         ItemTable told = asker.with(table.changesAfter(asker.revision()));
 
@@ -64,18 +64,19 @@
     }
 
     @Test
-    void aReaderWhoseRevisionALaterWholeReadPassedOverIsToldEverything() {
+    void sendsFullPageIfLaterFullReadSkippedReaderRevision() {
         // As above, but the node knew the site before; the platform dropped its history, in which
         // a target came and went.
-        ItemTable table = ItemTable.EMPTY.with(whole(3, item("a", 3))).with(whole(9, item("a", 3)));
-        ItemTable asker = ItemTable.EMPTY.with(whole(5, item("a", 3), item("gone", 5)));
+        ItemTable table =
+                ItemTable.EMPTY.with(fullPage(3, item("a", 3))).with(fullPage(9, item("a", 3)));
+        ItemTable asker = ItemTable.EMPTY.with(fullPage(5, item("a", 3), item("gone", 5)));
 
-        assertThat(table.changesAfter(3).whole()).isFalse();
-        assertThat(table.hasNewsFor(5)).isTrue();
+        assertThat(table.changesAfter(3).full()).isFalse();
+        assertThat(table.hasChangesFor(5)).isTrue();
         assertThat(asker.with(table.changesAfter(5)).item("gone").removed()).isTrue();
     }
 
-    private static PublishedPage whole(long revision, PublishedItem... items) {
+    private static PublishedPage fullPage(long revision, PublishedItem... items) {
         return new PublishedPage(revision, true, List.of(items));
     }
 
--- a/src/test/java/org/apricotgauge/directory/LeavingTargetTest.java
+++ b/src/test/java/org/apricotgauge/directory/LeavingTargetTest.java
@@ -31,20 +31,20 @@
     private static final long HEARTBEAT_MILLIS = 1_500;
 
     /** What a request takes from the last look at the table to the target, with a late timer. */
-    private static final long LAST_HOP_MILLIS = 100;
+    private static final long LAST_HOP_LATENCY_MILLIS = 100;
 
     private static final long TICK_MILLIS = 100;
 
     /** What an answer takes on a link that a large configuration has filled. */
-    private static final long LATE_ANSWER_MILLIS = 600;
+    private static final long SLOW_ANSWER_LATENCY_MILLIS = 600;
 
     /** What a page takes on a link that is full for longer than two heartbeats. */
-    private static final long FULL_LINK_MILLIS = 3_500;
+    private static final long SATURATED_LINK_LATENCY_MILLIS = 3_500;
 
     /** What another guard's word takes on such a link, and how old its view is. */
-    private static final long LATE_WORD_MILLIS = 1_200;
+    private static final long PEER_VIEW_LATENCY_MILLIS = 1_200;
 
-    private static final long TOLD_AGE_MILLIS = 300;
+    private static final long PEER_VIEW_AGE_MILLIS = 300;
 
     private final ManualTicker mTicker = new ManualTicker();
     private final FakePlatform mPlatform = new FakePlatform(mTicker);
@@ -73,150 +73,153 @@
         mPlatform.publish("b", bytes("ready"));
         mPlatform.publish("c", bytes("ready"));
         mFeed.start();
-        pass(5_000);
-        assertThat(takingWork()).containsExactly("a", "b", "c");
+        advance(5_000);
+        assertThat(acceptingTargets()).containsExactly("a", "b", "c");
     }
 
     @Test
-    void aTargetThatLeavesIsKnownInTimeThoughTheWatchWentSilent() {
+    void leavingTargetIsDetectedInTimeDespiteSilentWatch() {
         // The open connection to the platform goes silent without a reset; new ones work. No hop
         // brings a hint: all other nodes are in the same state. Then a target says that it leaves.
-        mPlatform.silence();
-        pass(4_000);
+        mPlatform.dropWatches();
+        advance(4_000);
 
         mPlatform.publish("a", bytes("leaving"));
-        pass(SERVES_ON_MILLIS - LAST_HOP_MILLIS);
+        advance(SERVES_ON_MILLIS - LAST_HOP_LATENCY_MILLIS);
 
-        assertThat(takingWork()).containsExactly("b", "c");
+        assertThat(acceptingTargets()).containsExactly("b", "c");
     }
 
     /** Guards against work for a target that left while a change before it was on its way. */
     @Test
-    void aRegistrationThatEndsIsObeyedInTimeThoughAnswersAreLate() {
-        mPlatform.setWay(LATE_ANSWER_MILLIS);
+    void endedRegistrationIsAppliedInTimeDespiteSlowAnswers() {
+        mPlatform.setLatency(SLOW_ANSWER_LATENCY_MILLIS);
         mPlatform.publish("d", bytes("ready"));
         mTicker.advanceMillis(1);
 
         mPlatform.remove("a");
-        pass(SERVES_ON_MILLIS - LAST_HOP_MILLIS);
+        advance(SERVES_ON_MILLIS - LAST_HOP_LATENCY_MILLIS);
 
-        assertThat(takingWork()).containsExactly("b", "c", "d");
+        assertThat(acceptingTargets()).containsExactly("b", "c", "d");
     }
 
     @Test
-    void aRegistrationThatEndsIsObeyedInTimeThoughACallFailedBefore() {
+    void endedRegistrationIsAppliedInTimeAfterFailedCall() {
         // One call of this node fails, and the next is answered: the platform was never away. A
         // target whose registration then ends has left, and may not be kept as one that ran out.
-        mPlatform.setAway(true);
-        mPlatform.setAway(false);
-        pass(1_000);
+        mPlatform.setUnavailable(true);
+        mPlatform.setUnavailable(false);
+        advance(1_000);
 
         mPlatform.remove("a");
-        pass(SERVES_ON_MILLIS - LAST_HOP_MILLIS);
+        advance(SERVES_ON_MILLIS - LAST_HOP_LATENCY_MILLIS);
 
-        assertThat(takingWork()).containsExactly("b", "c");
+        assertThat(acceptingTargets()).containsExactly("b", "c");
     }
 
     @Test
-    void registrationsThatEndAtOnceAreObeyedInTimeWhileThePlatformIsThere() {
+    void simultaneouslyEndedRegistrationsAreAppliedInTimeWhilePlatformIsAvailable() {
         // Three targets leave in one step without a word before. The platform has answered all the
         // while, so that nothing has run out: to keep them would send work to targets that left.
         mPlatform.remove("a", "b", "c");
-        pass(SERVES_ON_MILLIS - LAST_HOP_MILLIS);
+        advance(SERVES_ON_MILLIS - LAST_HOP_LATENCY_MILLIS);
 
-        assertThat(takingWork()).isEmpty();
+        assertThat(acceptingTargets()).isEmpty();
     }
 
     @Test
-    void registrationsThatRanOutWhileThePlatformWasAwayAreKeptUntilTheyAreBack() {
+    void expiredRegistrationsAreRetainedAfterPlatformOutage() {
         // The platform is away for longer than leases last. Back, it holds no registration of the
         // targets, which all live and write again within 2 s: dropped, they would leave every
         // caller refused.
-        mPlatform.setAway(true);
-        pass(6_000);
+        mPlatform.setUnavailable(true);
+        advance(6_000);
         mPlatform.remove("a", "b", "c");
-        mPlatform.setAway(false);
-        pass(1_900);
-        assertThat(takingWork()).containsExactly("a", "b", "c");
+        mPlatform.setUnavailable(false);
+        advance(1_900);
+        assertThat(acceptingTargets()).containsExactly("a", "b", "c");
 
         mPlatform.publish("a", bytes("ready"));
         mPlatform.publish("b", bytes("ready"));
-        pass(1_000);
+        advance(1_000);
 
-        assertThat(takingWork()).containsExactly("a", "b");
+        assertThat(acceptingTargets()).containsExactly("a", "b");
     }
 
     @Test
-    void registrationsThatRanOutUnderAWatchThatNoticedNothingAreKeptToo() {
+    void expiredRegistrationsAreRetainedIfWatchSurvivedOutage() {
         // As above, but the platform fell silent and lost no connection: a waiting watch stays as
         // it is, and its next answer tells that all registrations are gone.
         mPlatform.setSilent(true);
-        pass(6_000);
+        advance(6_000);
         mPlatform.remove("a", "b", "c");
         mPlatform.setSilent(false);
-        pass(1_900);
+        advance(1_900);
 
-        assertThat(takingWork()).containsExactly("a", "b", "c");
+        assertThat(acceptingTargets()).containsExactly("a", "b", "c");
     }
 
     /** Guards against work for a target that left, by a node that nothing reached for a while. */
     @Test
-    void aRegistrationThatEndsIsNotKeptWhileOthersReadThePlatform() {
-        mPlatform.setWay(FULL_LINK_MILLIS);
-        pass(1_000);
+    void endedRegistrationIsNotRetainedWhileOthersReadPlatform() {
+        mPlatform.setLatency(SATURATED_LINK_LATENCY_MILLIS);
+        advance(1_000);
 
         mPlatform.remove("a");
-        passHearing(FULL_LINK_MILLIS + TICK_MILLIS, atMillis -> atMillis - TOLD_AGE_MILLIS);
+        advanceWithPeerViews(
+                SATURATED_LINK_LATENCY_MILLIS + TICK_MILLIS,
+                atMillis -> atMillis - PEER_VIEW_AGE_MILLIS);
 
-        assertThat(takingWork()).containsExactly("b", "c");
+        assertThat(acceptingTargets()).containsExactly("b", "c");
     }
 
     /** Guards against work for a target that left, by an answer that was long on its way. */
     @Test
-    void aRegistrationThatEndsIsNotKeptSinceTheAnswerThatTellsItWasLate() {
+    void slowAnswerDoesNotExtendRetention() {
         PlatformTimes times = new PlatformTimes(2_500, 1_200);
-        long latestQuestion = 2 * (times.viewBoundMillis() - times.askNodeMillis());
+        long latestQuestion = 2 * (times.maxViewAgeMillis() - times.nodeQueryAgeMillis());
         mFeed = feed(times, () -> latestQuestion);
         mFeed.start();
-        pass(1_000);
+        advance(1_000);
 
-        mPlatform.silence();
+        mPlatform.dropWatches();
         mPlatform.remove("a");
-        mPlatform.setWay(DirectoryFeed.ANSWER_MILLIS - TICK_MILLIS);
-        pass(times.servesOnMillis() + times.awayMillis() / 2);
+        mPlatform.setLatency(DirectoryFeed.ANSWER_TIMEOUT_MILLIS - TICK_MILLIS);
+        advance(times.servesOnMillis() + times.minExpiryOutageMillis() / 2);
 
-        assertThat(takingWork()).containsExactly("b", "c");
+        assertThat(acceptingTargets()).containsExactly("b", "c");
     }
 
     /** Guards against a service without targets after an absence of which others told all along. */
     @Test
-    void registrationsThatRanOutAreKeptThoughOthersTellHowOldTheirViewsAre() {
+    void expiredRegistrationsAreRetainedDespiteStalePeerViews() {
         long awayFromMillis = mTicker.millis();
-        mPlatform.setAway(true);
-        passHearing(6_000, atMillis -> Math.min(atMillis, awayFromMillis));
+        mPlatform.setUnavailable(true);
+        advanceWithPeerViews(6_000, atMillis -> Math.min(atMillis, awayFromMillis));
 
         mPlatform.remove("a", "b", "c");
-        mPlatform.setAway(false);
+        mPlatform.setUnavailable(false);
         long backFromMillis = mTicker.millis();
-        passHearing(1_900, atMillis -> atMillis < backFromMillis ? awayFromMillis : atMillis);
+        advanceWithPeerViews(
+                1_900, atMillis -> atMillis < backFromMillis ? awayFromMillis : atMillis);
 
-        assertThat(takingWork()).containsExactly("a", "b", "c");
+        assertThat(acceptingTargets()).containsExactly("a", "b", "c");
     }
 
     /** Guards against a fleet that refuses all work because its platform is away. */
     @Test
-    void aPlatformThatFallsSilentHardlyStopsWork() {
+    void silentPlatformBarelyInterruptsWork() {
         mPlatform.setSilent(true);
         int stoppedTicks = 0;
         for (int tick = 0; tick < 100; tick++) {
-            pass(TICK_MILLIS);
+            advance(TICK_MILLIS);
             stoppedTicks += mFeed.isCurrent() ? 0 : 1;
         }
 
         assertThat(stoppedTicks).isLessThanOrEqualTo(2);
     }
 
-    private List<String> takingWork() {
+    private List<String> acceptingTargets() {
         return mSite.registrations().stream()
                 .filter(one -> !one.leaving())
                 .map(Registration::name)
@@ -224,7 +227,7 @@
     }
 
     /** Lets time pass as the node's worker sees it. */
-    private void pass(long millis) {
+    private void advance(long millis) {
         long left = millis;
         while (left > 0) {
             long step = Math.min(left, TICK_MILLIS);
@@ -236,18 +239,18 @@
     }
 
     /**
-     * As {@link #pass}, while guards that know more tell how old their views are.
+     * As {@link #advance}, while guards that know more tell how old their views are.
      *
      * @param readMillis when a guard had last read the platform, by the time at which it tells
      */
-    private void passHearing(long millis, LongUnaryOperator readMillis) {
+    private void advanceWithPeerViews(long millis, LongUnaryOperator readMillis) {
         for (long left = millis; left > 0; left -= TICK_MILLIS) {
-            pass(TICK_MILLIS);
-            long toldMillis = mTicker.millis() - LATE_WORD_MILLIS;
+            advance(TICK_MILLIS);
+            long toldMillis = mTicker.millis() - PEER_VIEW_LATENCY_MILLIS;
             long ageMillis = toldMillis - readMillis.applyAsLong(toldMillis);
-            mFeed.confirm(
+            mFeed.recordPeerView(
                     new SiteView(Long.MAX_VALUE, ageMillis),
-                    mFeed.elapsedMillis() - LATE_WORD_MILLIS);
+                    mFeed.elapsedMillis() - PEER_VIEW_LATENCY_MILLIS);
         }
     }
 
--- a/src/test/java/org/apricotgauge/directory/PageCodecTest.java
+++ b/src/test/java/org/apricotgauge/directory/PageCodecTest.java
@@ -24,12 +24,12 @@
     private final PageCodec mCodec = new PageCodec();
 
     @Test
-    void aPageComesBackAsItWas() throws Exception {
+    void roundTripsPage() throws Exception {
         for (boolean compressed : new boolean[] {true, false}) {
             PublishedPage back = mCodec.decode(mCodec.encode(PAGE, compressed));
 
             assertThat(back.revision()).isEqualTo(7);
-            assertThat(back.whole()).isTrue();
+            assertThat(back.full()).isTrue();
             assertThat(back.ageMillis()).isEqualTo(250);
             assertThat(back.items())
                     .extracting(PublishedItem::key)
@@ -40,33 +40,33 @@
     }
 
     @Test
-    void aLargeValueTakesAPartOfItsBytes() {
+    void compressesLargeValue() {
         assertThat(mCodec.encode(PAGE, true).length).isLessThan(LARGE.length / 8);
         assertThat(mCodec.encode(PAGE, false).length).isGreaterThan(LARGE.length);
     }
 
     @Test
-    void aValueThatIsPassedOnIsCompressedOnce() throws Exception {
-        ValuePacker packer = new ValuePacker();
-        byte[] packed = packer.pack(LARGE);
+    void forwardedValueIsCompressedOnce() throws Exception {
+        ValueCompressor packer = new ValueCompressor();
+        byte[] packed = packer.compress(LARGE);
 
-        assertThat(packer.pack(LARGE)).isSameAs(packed);
-        byte[] plain = packer.unpack(packed, LARGE.length);
-        assertThat(packer.pack(plain)).isSameAs(packed);
+        assertThat(packer.compress(LARGE)).isSameAs(packed);
+        byte[] plain = packer.decompress(packed, LARGE.length);
+        assertThat(packer.compress(plain)).isSameAs(packed);
     }
 
     @Test
-    void whatIsNoCompressedValueOfItsLengthIsRefused() {
-        ValuePacker packer = new ValuePacker();
-        byte[] packed = packer.pack(LARGE);
+    void rejectsCompressedValueOfOtherLength() {
+        ValueCompressor packer = new ValueCompressor();
+        byte[] packed = packer.compress(LARGE);
 
-        assertThatThrownBy(() -> packer.unpack(packed, LARGE.length - 1))
+        assertThatThrownBy(() -> packer.decompress(packed, LARGE.length - 1))
                 .isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> packer.unpack(packed, LARGE.length + 1))
+        assertThatThrownBy(() -> packer.decompress(packed, LARGE.length + 1))
                 .isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> packer.unpack(new byte[] {9, 9, 9}, 100))
+        assertThatThrownBy(() -> packer.decompress(new byte[] {9, 9, 9}, 100))
                 .isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> packer.unpack(packed, Integer.MAX_VALUE))
+        assertThatThrownBy(() -> packer.decompress(packed, Integer.MAX_VALUE))
                 .isInstanceOf(IOException.class);
     }
 }
--- a/src/test/java/org/apricotgauge/directory/PendingReadTest.java
+++ b/src/test/java/org/apricotgauge/directory/PendingReadTest.java
@@ -10,86 +10,86 @@
 
 class PendingReadTest {
     private static final PublishedPage PAGE = new PublishedPage(5, false, List.of());
-    private static final PendingRead.Question QUESTION = new PendingRead.Question(4, 0);
+    private static final PendingRead.Query QUERY = new PendingRead.Query(4, 0);
 
-    private final List<String> mHeard = new ArrayList<>();
+    private final List<String> mNotifications = new ArrayList<>();
     private final List<CompletableFuture<PublishedPage>> mAnswers = new ArrayList<>();
     private final PendingRead mRead =
             new PendingRead(
                     Runnable::run,
-                    (page, inTime) -> mHeard.add(inTime ? "page in time" : "late page"));
-    private final PendingRead.End mEnd =
-            new PendingRead.End() {
+                    (page, inTime) -> mNotifications.add(inTime ? "page in time" : "late page"));
+    private final PendingRead.CompletionListener mCompletionListener =
+            new PendingRead.CompletionListener() {
                 @Override
                 public void answered(PublishedPage page) {
-                    mHeard.add("answered");
+                    mNotifications.add("answered");
                 }
 
                 @Override
                 public void failed(String reason) {
-                    mHeard.add("failed");
+                    mNotifications.add("failed");
                 }
             };
 
-    private void begin() {
-        mRead.begin(
+    private void start() {
+        mRead.start(
                 (after, waitMillis) -> {
                     mAnswers.add(new CompletableFuture<>());
                     return mAnswers.get(mAnswers.size() - 1);
                 },
-                QUESTION,
+                QUERY,
                 100,
-                mEnd);
+                mCompletionListener);
     }
 
     @Test
-    void endsOnceWithItsAnswer() {
-        begin();
+    void completesOnceWithAnswer() {
+        start();
         mRead.expire(99);
         mAnswers.get(0).complete(PAGE);
         mRead.expire(100);
 
-        assertThat(mHeard).containsExactly("page in time", "answered");
-        assertThat(mRead.isUnderWay()).isFalse();
+        assertThat(mNotifications).containsExactly("page in time", "answered");
+        assertThat(mRead.isInProgress()).isFalse();
     }
 
     @Test
-    void endsOnceWithItsFailure() {
-        begin();
+    void completesOnceWithFailure() {
+        start();
         mAnswers.get(0).completeExceptionally(new IOException("refused"));
         mRead.expire(100);
 
-        assertThat(mHeard).containsExactly("failed");
+        assertThat(mNotifications).containsExactly("failed");
     }
 
     @Test
-    void aPageThatComesTooLateBringsNewsAndEndsNothing() {
+    void latePageIsDeliveredWithoutCompletingRead() {
         // It may have waited in a socket while this process was suspended; taken for the answer of
         // this moment it would confirm an old view.
-        begin();
+        start();
         mRead.expire(100);
         mAnswers.get(0).complete(PAGE);
 
-        assertThat(mHeard).containsExactly("failed", "late page");
+        assertThat(mNotifications).containsExactly("failed", "late page");
     }
 
     @Test
-    void theReadBeforeEndsUnheardWhenAnotherBegins() {
-        begin();
-        begin();
+    void newReadReplacesEarlierOneSilently() {
+        start();
+        start();
         mAnswers.get(0).completeExceptionally(new IOException("refused"));
-        assertThat(mRead.isUnderWay()).isTrue();
+        assertThat(mRead.isInProgress()).isTrue();
         mAnswers.get(1).complete(PAGE);
 
-        assertThat(mHeard).containsExactly("page in time", "answered");
+        assertThat(mNotifications).containsExactly("page in time", "answered");
     }
 
     @Test
-    void aReadThatWasGivenUpEndsUnheard() {
-        begin();
-        mRead.drop();
+    void cancelledReadDoesNotComplete() {
+        start();
+        mRead.cancel();
         mAnswers.get(0).complete(PAGE);
 
-        assertThat(mHeard).containsExactly("late page");
+        assertThat(mNotifications).containsExactly("late page");
     }
 }
--- a/src/test/java/org/apricotgauge/directory/ReaderFleetTest.java
+++ b/src/test/java/org/apricotgauge/directory/ReaderSimulationTest.java
@@ -10,43 +10,43 @@
 import org.junit.jupiter.api.Test;
 
 /** Few nodes read the platform, and all know what it says in time, whoever fails. */
-class ReaderFleetTest {
+class ReaderSimulationTest {
     private static final long SECOND_MILLIS = 1_000;
 
     /** A link of 10 Mbit/s. */
     private static final long NARROW_LINK_BYTES_PER_MILLI = 1_250;
 
     @Test
-    void callsAtRestDoNotGrowWithTheNodesOfAFailureDomain() {
+    void idleCallsDoNotGrowWithNodesPerFailureDomain() {
         // Each node that reads the platform itself costs a waiting watch, a question every second
         // or two, and a call for each change: at 113 nodes a hundred calls a second.
-        long small = callsAtRest(new SimulatedSite(3, 8, 1));
-        long large = callsAtRest(new SimulatedSite(3, 40, 1));
+        long small = idleCalls(new SimulatedSite(3, 8, 1));
+        long large = idleCalls(new SimulatedSite(3, 40, 1));
 
         System.out.printf("calls in 20 s at rest: 24 nodes %d, 120 nodes %d%n", small, large);
         // The site asks as often as its view must be made younger, whoever wants it; and one node
         // of each failure domain watches.
         long watches = 3 * (20 * SECOND_MILLIS / DirectoryFeed.WATCH_MILLIS + 1);
-        long most = 20 * SECOND_MILLIS / SimulatedSite.TIMES.youngMillis() + 1 + watches;
+        long most = 20 * SECOND_MILLIS / SimulatedSite.TIMES.maxFreshAgeMillis() + 1 + watches;
         assertThat(small).isLessThan(most);
         assertThat(large).isLessThan(most);
     }
 
-    private static long callsAtRest(SimulatedSite site) {
-        site.pass(10 * SECOND_MILLIS);
+    private static long idleCalls(SimulatedSite site) {
+        site.advance(10 * SECOND_MILLIS);
         assertThat(site.readers()).extracting(SiteNode::domain).containsOnly("d0", "d1", "d2");
         assertThat(site.readers()).hasSizeLessThanOrEqualTo(3);
-        site.pass(20 * SECOND_MILLIS);
+        site.advance(20 * SECOND_MILLIS);
         return site.platform().callsInLast(20 * SECOND_MILLIS);
     }
 
     @Test
-    void aChangeReachesAllNodesWithoutACallOfEach() {
+    void changeReachesAllNodesWithoutCallPerNode() {
         SimulatedSite site = new SimulatedSite(5, 22, 2);
-        site.pass(10 * SECOND_MILLIS);
+        site.advance(10 * SECOND_MILLIS);
 
         site.publish("x", "d0");
-        site.pass(200);
+        site.advance(200);
 
         assertThat(site.platform().callsInLast(200)).isLessThan(5 * 3);
         for (SiteNode node : site.nodes()) {
@@ -55,53 +55,53 @@
     }
 
     @Test
-    void anOutageIsNoStorm() {
+    void outageCausesNoRetryStorm() {
         // The platform is away for 20 s. Each node that looks for it every 0.3 s would keep an
         // overloaded platform so; and the readers of the platform must still see its return at
         // once, since targets that are missing 2 s after it are gone.
         SimulatedSite site = new SimulatedSite(3, 40, 3);
-        site.pass(10 * SECOND_MILLIS);
+        site.advance(10 * SECOND_MILLIS);
 
-        site.platform().setAway(true);
-        site.pass(5 * SECOND_MILLIS);
-        site.pass(15 * SECOND_MILLIS);
+        site.platform().setUnavailable(true);
+        site.advance(5 * SECOND_MILLIS);
+        site.advance(15 * SECOND_MILLIS);
         long callsPerSecond = site.platform().callsInLast(15 * SECOND_MILLIS) / 15;
-        site.platform().setAway(false);
+        site.platform().setUnavailable(false);
         site.publish("x", "d0");
-        site.pass(SECOND_MILLIS);
+        site.advance(SECOND_MILLIS);
 
         System.out.printf("120 nodes in an outage: %d calls a second%n", callsPerSecond);
         // Two nodes of each failure domain try every 0.6 s, all others 40 times a second together.
         assertThat(callsPerSecond).isLessThan(3 * 2 * 2 + 40);
         assertThat(site.nodes())
                 .allMatch(node -> node.feed().newestRevision() == 122, "knows the change");
-        site.pass(DirectoryFeed.WATCH_MILLIS + Suspects.LONGEST_MILLIS);
+        site.advance(DirectoryFeed.WATCH_MILLIS + SuspectTracker.MAX_MILLIS);
         assertThat(site.readers()).hasSize(3);
     }
 
     @Test
-    void allConnectionsThatGoSilentLeaveNobodyBehind() {
+    void silentConnectionsLeaveNoNodeStale() {
         SimulatedSite site = new SimulatedSite(3, 12, 4);
-        site.pass(10 * SECOND_MILLIS);
+        site.advance(10 * SECOND_MILLIS);
 
         site.silenceConnections();
         site.publish("x", "d0");
-        site.pass(SimulatedSite.TIMES.servesOnMillis() - 100);
+        site.advance(SimulatedSite.TIMES.servesOnMillis() - 100);
 
         assertThat(site.nodes()).allMatch(node -> node.feed().newestRevision() == 38);
     }
 
     /** Guards against a word of leaving that waits behind a large configuration on its way. */
     @Test
-    void aLargeConfigurationOnNarrowLinksHoldsNoLaterChangeUp() {
+    void largeConfigurationOnNarrowLinksDoesNotDelayLaterChange() {
         SimulatedSite site = new SimulatedSite(3, 24, 8);
-        site.setLinks(NARROW_LINK_BYTES_PER_MILLI);
-        site.pass(10 * SECOND_MILLIS);
+        site.setLinkBandwidth(NARROW_LINK_BYTES_PER_MILLI);
+        site.advance(10 * SECOND_MILLIS);
 
         site.publish("config", configurationOf(1_400));
-        site.pass(300);
+        site.advance(300);
         site.publish("x", "d0");
-        site.pass(SimulatedSite.TIMES.servesOnMillis() - 100);
+        site.advance(SimulatedSite.TIMES.servesOnMillis() - 100);
 
         assertThat(site.nodes()).allMatch(node -> node.feed().newestRevision() == 75);
     }
@@ -120,24 +120,24 @@
     }
 
     @Test
-    void aReaderThatDiesOrIsCutOffOrWakesLateHoldsNobodyUp() {
+    void failedReaderDelaysNoOtherNode() {
         // The nodes of a failure domain learn all they know from one of them. It dies, or is
         // suspended, or the platform refuses it; right then a target leaves. The others must know
         // in time, and must agree on another reader rather than all become one.
         for (int fault = 0; fault < 3; fault++) {
             SimulatedSite site = new SimulatedSite(3, 20, 5);
-            site.pass(10 * SECOND_MILLIS);
+            site.advance(10 * SECOND_MILLIS);
             for (SiteNode reader : site.readers()) {
-                strike(reader, fault);
+                injectFault(reader, fault);
             }
             site.publish("x", "d0");
-            site.pass(SimulatedSite.TIMES.servesOnMillis() - 100);
+            site.advance(SimulatedSite.TIMES.servesOnMillis() - 100);
 
             assertThat(site.nodes())
                     .filteredOn(SiteNode::isUp)
                     .as("fault %d", fault)
                     .allMatch(node -> node.feed().newestRevision() == 62);
-            site.pass(3 * SECOND_MILLIS);
+            site.advance(3 * SECOND_MILLIS);
             assertThat(site.platform().callsInLast(SECOND_MILLIS))
                     .as("fault %d", fault)
                     .isLessThan(30);
@@ -145,39 +145,39 @@
     }
 
     @Test
-    void halfOfTheNodesThatDieAtOnceLeaveTheOthersInTime() {
+    void remainingNodesStayCurrentWhenHalfTheNodesFail() {
         // Every second VM loses its power at one moment, readers among them; their targets stay
         // registered, so that all others still take them for parents. Right then a target leaves.
         SimulatedSite site = new SimulatedSite(3, 20, 6);
-        site.pass(10 * SECOND_MILLIS);
+        site.advance(10 * SECOND_MILLIS);
         site.readers().forEach(SiteNode::kill);
         for (int i = 0; i < site.nodes().size(); i += 2) {
             site.nodes().get(i).kill();
         }
 
         site.publish("x", "d0");
-        site.pass(SimulatedSite.TIMES.servesOnMillis() - 100);
+        site.advance(SimulatedSite.TIMES.servesOnMillis() - 100);
 
         assertThat(site.nodes())
                 .filteredOn(SiteNode::isUp)
                 .allMatch(node -> node.feed().newestRevision() == 62);
-        site.pass(8 * SECOND_MILLIS);
+        site.advance(8 * SECOND_MILLIS);
         assertThat(site.platform().callsInLast(SECOND_MILLIS)).isLessThan(30);
     }
 
     @Test
-    void theOthersGoOnWithoutAFailureDomain() {
+    void remainingNodesStayCurrentWithoutFailureDomain() {
         // A whole failure domain is lost, the one among them whose reader confirms the views of the
         // other readers. Its targets stay registered for some seconds.
         for (String lost : List.of("d0", "d1", "d2")) {
             SimulatedSite site = new SimulatedSite(3, 12, 7);
-            site.pass(10 * SECOND_MILLIS);
+            site.advance(10 * SECOND_MILLIS);
             site.nodes().stream()
                     .filter(node -> node.domain().equals(lost))
                     .forEach(SiteNode::kill);
 
             site.publish("x", "d0");
-            site.pass(SimulatedSite.TIMES.servesOnMillis() - 100);
+            site.advance(SimulatedSite.TIMES.servesOnMillis() - 100);
 
             assertThat(site.nodes())
                     .filteredOn(SiteNode::isUp)
@@ -186,7 +186,7 @@
         }
     }
 
-    private static void strike(SiteNode node, int fault) {
+    private static void injectFault(SiteNode node, int fault) {
         switch (fault) {
             case 0 -> node.kill();
             case 1 -> node.pause();
@@ -195,23 +195,23 @@
     }
 
     @Property(seed = "24", tries = 150)
-    void whateverFailsNodesInTouchKnowEachChangeInTime(@ForAll long seed) {
-        Trouble trouble = new Trouble(seed);
+    void connectedNodesLearnChangesInTimeUnderFaults(@ForAll long seed) {
+        FaultSequence trouble = new FaultSequence(seed);
         for (int step = 0; step < 60; step++) {
             trouble.step();
         }
     }
 
     /** A course of faults, changes and calm, drawn from a seed. */
-    private static final class Trouble {
+    private static final class FaultSequence {
         private final SplittableRandom mRandom;
         private final SimulatedSite mSite;
-        private int mKey;
+        private int mNextKey;
 
-        private Trouble(long seed) {
+        private FaultSequence(long seed) {
             mRandom = new SplittableRandom(seed);
             mSite = new SimulatedSite(1 + mRandom.nextInt(3), 1 + mRandom.nextInt(16), seed);
-            pass(8 * SECOND_MILLIS);
+            advance(8 * SECOND_MILLIS);
         }
 
         private void step() {
@@ -223,20 +223,20 @@
                 case 1 -> pause(node);
                 case 2 -> node.setRefused(true);
                 case 3 -> mSite.nodes().forEach(one -> one.setRefused(false));
-                case 4, 7, 8 -> strikePlatform(kind);
+                case 4, 7, 8 -> injectPlatformFault(kind);
                 case 5, 6 -> heal();
                 case 9 -> mSite.silenceConnections();
-                case 10 -> mSite.cutPath(node, other);
-                case 11 -> strikeReaders();
-                case 12 -> node.stepTimeOfDay(mRandom.nextLong(-20_000, 20_000));
-                default -> change();
+                case 10 -> mSite.partitionPath(node, other);
+                case 11 -> injectReaderFault();
+                case 12 -> node.stepWallClock(mRandom.nextLong(-20_000, 20_000));
+                default -> publishOrRemove();
             }
-            pass(100 + mRandom.nextLong(4 * SECOND_MILLIS));
+            advance(100 + mRandom.nextLong(4 * SECOND_MILLIS));
         }
 
-        private void strikePlatform(int kind) {
+        private void injectPlatformFault(int kind) {
             switch (kind) {
-                case 4 -> mSite.platform().setAway(true);
+                case 4 -> mSite.platform().setUnavailable(true);
                 case 7 -> mSite.platform().setLosesAnswers(true);
                 default -> mSite.platform().dropHistory();
             }
@@ -248,22 +248,22 @@
             }
         }
 
-        private void strikeReaders() {
+        private void injectReaderFault() {
             List<SiteNode> readers = mSite.readers();
             int fault = mRandom.nextInt(3);
-            readers.forEach(reader -> strike(reader, fault));
+            readers.forEach(reader -> injectFault(reader, fault));
         }
 
         private void heal() {
-            mSite.platform().setAway(false);
+            mSite.platform().setUnavailable(false);
             mSite.platform().setLosesAnswers(false);
-            mSite.mendPaths();
+            mSite.restorePaths();
             mSite.nodes().forEach(one -> one.setRefused(false));
-            mSite.nodes().forEach(Trouble::bringBack);
-            pass(2 * SimulatedSite.CALM_MILLIS);
+            mSite.nodes().forEach(FaultSequence::restore);
+            advance(2 * SimulatedSite.STABLE_MILLIS);
         }
 
-        private static void bringBack(SiteNode node) {
+        private static void restore(SiteNode node) {
             if (node.isUp()) {
                 return;
             }
@@ -274,18 +274,18 @@
             }
         }
 
-        private void change() {
+        private void publishOrRemove() {
             if (mRandom.nextBoolean()) {
-                mSite.publish("x" + mKey++, "d0");
-            } else if (mKey > 0) {
-                mSite.platform().remove("x" + mRandom.nextInt(mKey));
+                mSite.publish("x" + mNextKey++, "d0");
+            } else if (mNextKey > 0) {
+                mSite.platform().remove("x" + mRandom.nextInt(mNextKey));
             }
         }
 
-        private void pass(long millis) {
+        private void advance(long millis) {
             for (long left = millis; left > 0; left -= 50) {
-                mSite.pass(Math.min(left, 50));
-                assertThat(mSite.lateNodes()).isEmpty();
+                mSite.advance(Math.min(left, 50));
+                assertThat(mSite.staleNodes()).isEmpty();
             }
         }
     }
--- a/src/test/java/org/apricotgauge/directory/ReaderTreeTest.java
+++ b/src/test/java/org/apricotgauge/directory/ReaderTreeTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void oneNodeOfEachFailureDomainReadsThePlatformAndAllOthersReachItInAFewSteps() {
+    void oneNodePerFailureDomainReadsPlatformAndOthersReachItInFewSteps() {
         List<Node> site = site(NODES);
         Map<Address, Address> parents = new HashMap<>();
         List<Node> readers = new ArrayList<>();
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void nodesThatSuspectTheReaderAgreeOnTheNextOne() {
+    void nodesSuspectingReaderAgreeOnNextOne() {
         List<Node> site = site(20);
         Set<Address> dead = new HashSet<>();
         for (int round = 0; round < 3; round++) {
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aNodeThatIsNotRegisteredReadsFromOthersAndNobodyFromIt() {
+    void unregisteredNodeIsNeverAParent() {
         // Its target is still starting, or leaves: the others do not know of the node, and would
         // not follow it; as a reader of the platform it would be one too many.
         List<Node> site = site(20);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void theReadersOfAllFailureDomainsAgreeWhoConfirmsTheirViews() {
+    void readersOfAllFailureDomainsAgreeOnConfirmer() {
         List<Node> site = site(20);
         List<Node> readers =
                 site.stream().filter(node -> parentOf(node, site, Set.of()).isEmpty()).toList();
@@ -105,10 +105,10 @@
     }
 
     @Test
-    void aNodeWithoutNeighboursReadsThePlatform() {
+    void nodeWithoutNeighborsReadsPlatform() {
         Node alone = new Node(new Address("c0", 80), "c");
         assertThat(parentOf(alone, site(3), Set.of())).isEmpty();
-        assertThat(new ReaderTree(alone, site(3)).isFirst()).isTrue();
-        assertThat(ReaderTree.alone().parent(node -> false)).isEmpty();
+        assertThat(new ReaderTree(alone, site(3)).probesPlatform()).isTrue();
+        assertThat(ReaderTree.ofSingleNode().parent(node -> false)).isEmpty();
     }
 }
--- a/src/test/java/org/apricotgauge/directory/RetryPauseTest.java
+++ b/src/test/java/org/apricotgauge/directory/RetryBackoffTest.java
@@ -8,8 +8,8 @@
 import org.apricotgauge.model.Address;
 import org.junit.jupiter.api.Test;
 
-class RetryPauseTest {
-    private final RetryPause mPause = new RetryPause(new SplittableRandom(1));
+class RetryBackoffTest {
+    private final RetryBackoff mBackoff = new RetryBackoff(new SplittableRandom(1));
 
     private static ReaderTree treeOf(String self, int nodes) {
         List<ReaderTree.Node> site =
@@ -20,26 +20,26 @@
     }
 
     @Test
-    void aReaderOfThePlatformKeepsASteadyPace() {
-        ReaderTree alone = ReaderTree.alone();
-        assertThat(mPause.nextMillis(alone)).isEqualTo(RetryPause.FIRST_MILLIS);
-        IntStream.range(0, 10).forEach(i -> mPause.nextMillis(alone));
-        assertThat(mPause.nextMillis(alone)).isEqualTo(RetryPause.LONGEST_MILLIS);
-        mPause.reset();
-        assertThat(mPause.nextMillis(alone)).isEqualTo(RetryPause.FIRST_MILLIS);
+    void platformReaderBacksOffToFixedMaximum() {
+        ReaderTree alone = ReaderTree.ofSingleNode();
+        assertThat(mBackoff.nextMillis(alone)).isEqualTo(RetryBackoff.INITIAL_MILLIS);
+        IntStream.range(0, 10).forEach(i -> mBackoff.nextMillis(alone));
+        assertThat(mBackoff.nextMillis(alone)).isEqualTo(RetryBackoff.MAX_MILLIS);
+        mBackoff.reset();
+        assertThat(mBackoff.nextMillis(alone)).isEqualTo(RetryBackoff.INITIAL_MILLIS);
     }
 
     @Test
-    void allOthersTogetherCallAtARateThatDoesNotGrowWithTheirNumber() {
+    void combinedRateOfOtherNodesDoesNotGrowWithTheirNumber() {
         for (int nodes : List.of(100, 1_000, 7_000)) {
             ReaderTree tree = treeOf("stranger", nodes);
             double meanMillis =
                     IntStream.range(0, 2_000)
-                            .mapToLong(i -> mPause.nextMillis(tree))
+                            .mapToLong(i -> mBackoff.nextMillis(tree))
                             .average()
                             .orElseThrow();
             assertThat(1_000 * nodes / meanMillis)
-                    .isLessThan(1_000.0 / RetryPause.A_NODE_MILLIS + 2);
+                    .isLessThan(1_000.0 / RetryBackoff.MILLIS_PER_NODE + 2);
         }
     }
 }
--- a/src/test/java/org/apricotgauge/directory/SimulatedPlatform.java
+++ b/src/test/java/org/apricotgauge/directory/SimulatedPlatform.java
@@ -21,10 +21,10 @@
     private final List<WaitingWatch> mWatches = new ArrayList<>();
     private final List<Long> mCallsAtMillis = new ArrayList<>();
     private long mRevision;
-    private long mHistoryFrom;
-    private boolean mAway;
+    private long mHistoryStartRevision;
+    private boolean mUnavailable;
     private boolean mLosesAnswers;
-    private long mChangedAtMillis;
+    private long mDisturbedAtMillis;
 
     private record Write(long atMillis, boolean removed) {}
 
@@ -56,9 +56,9 @@
     }
 
     /** Refuses all calls from now on and cuts those that wait; or serves again. */
-    void setAway(boolean away) {
-        mAway = away;
-        changed();
+    void setUnavailable(boolean away) {
+        mUnavailable = away;
+        recordDisturbance();
         if (away) {
             List<WaitingWatch> cut = List.copyOf(mWatches);
             mWatches.clear();
@@ -69,34 +69,34 @@
     /** Loses every answer from now on; or not any longer. */
     void setLosesAnswers(boolean loses) {
         mLosesAnswers = loses;
-        changed();
+        recordDisturbance();
     }
 
     /** Forgets all changes up to now. */
     void dropHistory() {
-        mHistoryFrom = mRevision;
+        mHistoryStartRevision = mRevision;
         mItems.values().removeIf(PublishedItem::removed);
     }
 
     /** Loses waiting watches without a word. */
-    void forgetWatches(Predicate<SiteNode> isOf) {
+    void dropWatches(Predicate<SiteNode> isOf) {
         mWatches.removeIf(watch -> isOf.test(watch.reader()));
     }
 
     /** Something about the platform's service is different from now on. */
-    void changed() {
-        mChangedAtMillis = mTicker.millis();
+    void recordDisturbance() {
+        mDisturbedAtMillis = mTicker.millis();
     }
 
     /** Returns whether the platform has served as it should for a time. */
-    boolean isCalmFor(long millis) {
-        return !mAway && !mLosesAnswers && mTicker.millis() - mChangedAtMillis >= millis;
+    boolean isStableFor(long millis) {
+        return !mUnavailable && !mLosesAnswers && mTicker.millis() - mDisturbedAtMillis >= millis;
     }
 
     /** Takes a call. */
     void read(SiteNode reader, long after, long waitMillis, CompletableFuture<PublishedPage> to) {
         mCallsAtMillis.add(mTicker.millis());
-        if (mAway || reader.isRefused()) {
+        if (mUnavailable || reader.isRefused()) {
             to.completeExceptionally(new IOException("refused"));
             return;
         }
@@ -108,7 +108,7 @@
 
     /** Answers what has something to tell or has waited for long enough. */
     void answerDue() {
-        if (mAway || mLosesAnswers) {
+        if (mUnavailable || mLosesAnswers) {
             return;
         }
         List<WaitingWatch> due =
@@ -123,7 +123,7 @@
     }
 
     private PublishedPage page(long after) {
-        boolean whole = after < mHistoryFrom || after == 0;
+        boolean whole = after < mHistoryStartRevision || after == 0;
         List<PublishedItem> items =
                 mItems.values().stream()
                         .filter(item -> whole ? !item.removed() : item.revision() > after)
@@ -143,7 +143,7 @@
     }
 
     /** Returns when the earliest change was written that a table lacks; now if it lacks none. */
-    long firstUnknownMillis(ItemTable items) {
+    long earliestMissingChangeMillis(ItemTable items) {
         long earliest = mTicker.millis();
         for (Map.Entry<String, TreeMap<Long, Write>> key : mWrites.entrySet()) {
             PublishedItem item = items.item(key.getKey());
--- a/src/test/java/org/apricotgauge/directory/SimulatedSite.java
+++ b/src/test/java/org/apricotgauge/directory/SimulatedSite.java
@@ -27,7 +27,7 @@
     static final PlatformTimes TIMES = new PlatformTimes(2_000, 1_500);
 
     /** How long a calm while must be before a node's view is bounded again. */
-    static final long CALM_MILLIS = 3_000;
+    static final long STABLE_MILLIS = 3_000;
 
     static {
         // Hundreds of nodes lose and regain the platform in a second of test.
@@ -39,11 +39,11 @@
             CompletableFuture.failedFuture(new IOException("connection refused"));
 
     private static final long TICK_MILLIS = 100;
-    private static final long PLATFORM_WAY_MILLIS = 2;
-    private static final long NODE_WAY_MILLIS = 1;
+    private static final long PLATFORM_LATENCY_MILLIS = 2;
+    private static final long NODE_LATENCY_MILLIS = 1;
 
     /** The platform's values are base64 on the wire: four bytes for three. */
-    private static final int BASE64_OF_3_BYTES = 4;
+    private static final int BASE64_CHARS_PER_3_BYTES = 4;
 
     private static final long UNBOUNDED = Long.MAX_VALUE;
 
@@ -54,7 +54,7 @@
                     Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::number));
     private final SimulatedPlatform mPlatform = new SimulatedPlatform(mTicker);
     private final List<SiteNode> mNodes = new ArrayList<>();
-    private final Set<List<SiteNode>> mCutPaths = new HashSet<>();
+    private final Set<List<SiteNode>> mPartitionedPaths = new HashSet<>();
     private long mLinkBytesPerMilli = UNBOUNDED;
     private long mEventNumber;
 
@@ -73,7 +73,7 @@
     }
 
     /** Bounds what the link of each node carries either way; messages wait for each other. */
-    void setLinks(long bytesPerMilli) {
+    void setLinkBandwidth(long bytesPerMilli) {
         mLinkBytesPerMilli = bytesPerMilli;
     }
 
@@ -88,21 +88,21 @@
 
     /** All open connections go silent for good; new ones work. */
     void silenceConnections() {
-        mPlatform.forgetWatches(node -> true);
+        mPlatform.dropWatches(node -> true);
         mNodes.forEach(node -> node.mEpoch++);
-        mNodes.forEach(SiteNode::disturbed);
+        mNodes.forEach(SiteNode::recordDisturbance);
     }
 
     long now() {
         return mTicker.millis();
     }
 
-    private void later(long millis, Runnable action) {
+    private void schedule(long millis, Runnable action) {
         mEvents.add(new Event(now() + millis, mEventNumber++, action));
     }
 
     /** Lets time pass; whatever a node believes falsely is thrown. */
-    void pass(long millis) {
+    void advance(long millis) {
         long untilMillis = now() + millis;
         while (!mEvents.isEmpty() && mEvents.peek().atMillis() <= untilMillis) {
             Event event = mEvents.poll();
@@ -122,31 +122,31 @@
     }
 
     /** Cuts what one node sends to another; the other way stays. */
-    void cutPath(SiteNode from, SiteNode to) {
-        mCutPaths.add(List.of(from, to));
-        from.disturbed();
-        to.disturbed();
+    void partitionPath(SiteNode from, SiteNode to) {
+        mPartitionedPaths.add(List.of(from, to));
+        from.recordDisturbance();
+        to.recordDisturbance();
     }
 
     /** Mends all paths. */
-    void mendPaths() {
-        mCutPaths.clear();
-        mNodes.forEach(SiteNode::disturbed);
+    void restorePaths() {
+        mPartitionedPaths.clear();
+        mNodes.forEach(SiteNode::recordDisturbance);
     }
 
-    private boolean isCut(SiteNode from, SiteNode to) {
-        return mCutPaths.contains(List.of(from, to));
+    private boolean isPartitioned(SiteNode from, SiteNode to) {
+        return mPartitionedPaths.contains(List.of(from, to));
     }
 
     /**
      * Returns what nodes in touch do not know though they should: changes that are older than
      * targets serve on, less the last hop.
      */
-    List<String> lateNodes() {
+    List<String> staleNodes() {
         List<String> late = new ArrayList<>();
         for (SiteNode node : mNodes) {
-            if (mPlatform.isCalmFor(CALM_MILLIS) && node.isInTouch()) {
-                long knownAt = mPlatform.firstUnknownMillis(node.mFeed.items());
+            if (mPlatform.isStableFor(STABLE_MILLIS) && node.isConnected()) {
+                long knownAt = mPlatform.earliestMissingChangeMillis(node.mFeed.items());
                 if (now() - knownAt > TIMES.servesOnMillis() - TICK_MILLIS) {
                     late.add(node.mGuard + " lacks a change of " + (now() - knownAt) + " ms ago");
                 }
@@ -165,12 +165,12 @@
         private boolean mIsPaused;
         private boolean mIsRefused;
         private long mSuspendedMillis;
-        private long mTimeOfDayOffMillis;
+        private long mWallClockOffsetMillis;
         private long mPausedAtMillis;
-        private long mCalmFromMillis;
+        private long mStableSinceMillis;
         private final PageCodec mCodec = new PageCodec();
         private long mLinkFreeAtMillis;
-        private final List<Runnable> mHeldUp = new ArrayList<>();
+        private final List<Runnable> mDeferredActions = new ArrayList<>();
 
         private SiteNode(String domain, String host) {
             mDomain = domain;
@@ -197,80 +197,80 @@
         void start() {
             mIsDown = false;
             mIsPaused = false;
-            mHeldUp.clear();
-            disturbed();
+            mDeferredActions.clear();
+            recordDisturbance();
             long epoch = ++mEpoch;
-            DirectoryFeed feed = new DirectoryFeed(parts(), this::onSite);
+            DirectoryFeed feed = new DirectoryFeed(parts(), this::onSiteChanged);
             mFeed = feed;
-            later(mRandom.nextLong(300), () -> run(feed::start));
-            later(mRandom.nextLong(TICK_MILLIS), () -> tick(feed, epoch));
+            schedule(mRandom.nextLong(300), () -> run(feed::start));
+            schedule(mRandom.nextLong(TICK_MILLIS), () -> tick(feed, epoch));
         }
 
         /** Ends the process; its port refuses. */
         void kill() {
             mIsDown = true;
             mEpoch++;
-            mPlatform.forgetWatches(reader -> reader == this);
-            disturbed();
+            mPlatform.dropWatches(reader -> reader == this);
+            recordDisturbance();
         }
 
         /** Suspends the VM: its clock of intervals stands still, the time of day goes on. */
         void pause() {
             mIsPaused = true;
             mPausedAtMillis = now();
-            disturbed();
+            recordDisturbance();
         }
 
         /** Goes on as if nothing had been. */
         void resume() {
             mIsPaused = false;
             mSuspendedMillis += now() - mPausedAtMillis;
-            disturbed();
-            List<Runnable> held = List.copyOf(mHeldUp);
-            mHeldUp.clear();
+            recordDisturbance();
+            List<Runnable> held = List.copyOf(mDeferredActions);
+            mDeferredActions.clear();
             held.forEach(Runnable::run);
         }
 
         /** The platform refuses this node; or serves it again. */
         void setRefused(boolean refused) {
             mIsRefused = refused;
-            disturbed();
-            mPlatform.changed();
+            recordDisturbance();
+            mPlatform.recordDisturbance();
         }
 
         /** Sets the time of day, ahead or back. */
-        void stepTimeOfDay(long millis) {
-            mTimeOfDayOffMillis += millis;
-            disturbed();
+        void stepWallClock(long millis) {
+            mWallClockOffsetMillis += millis;
+            recordDisturbance();
         }
 
         boolean isRefused() {
             return mIsRefused;
         }
 
-        private void disturbed() {
-            mCalmFromMillis = now();
+        private void recordDisturbance() {
+            mStableSinceMillis = now();
         }
 
-        private boolean isInTouch() {
-            return isUp() && !mIsRefused && now() - mCalmFromMillis >= CALM_MILLIS + 300;
+        private boolean isConnected() {
+            return isUp() && !mIsRefused && now() - mStableSinceMillis >= STABLE_MILLIS + 300;
         }
 
         private DirectoryFeed.Parts parts() {
             return new DirectoryFeed.Parts(
-                    this::askPlatform,
-                    this::node,
+                    this::readPlatform,
+                    this::sourceOf,
                     SimulatedSite::decode,
                     this::run,
                     () -> mTicker.nanos() - mSuspendedMillis * 1_000_000,
-                    () -> mTicker.millis() + mTimeOfDayOffMillis,
+                    () -> mTicker.millis() + mWallClockOffsetMillis,
                     mRandom.split(),
                     TIMES);
         }
 
         private void run(Runnable action) {
             if (mIsPaused) {
-                mHeldUp.add(action);
+                mDeferredActions.add(action);
             } else if (!mIsDown) {
                 action.run();
             }
@@ -284,7 +284,7 @@
             if (!mIsPaused) {
                 checkAge();
             }
-            later(TICK_MILLIS, () -> tick(feed, epoch));
+            schedule(TICK_MILLIS, () -> tick(feed, epoch));
         }
 
         // A claim that is too young would spread to all who hear it.
@@ -293,7 +293,7 @@
                 return;
             }
             long ageMillis = mFeed.view().ageMillis();
-            long lackedMillis = now() - mPlatform.firstUnknownMillis(mFeed.items());
+            long lackedMillis = now() - mPlatform.earliestMissingChangeMillis(mFeed.items());
             if (lackedMillis > ageMillis) {
                 throw new AssertionError(
                         "%s at %d: takes its view for %d ms old, lacks a change of %d ms ago"
@@ -301,7 +301,7 @@
             }
         }
 
-        private void onSite(SiteDirectory directory) {
+        private void onSiteChanged(SiteDirectory directory) {
             List<ReaderTree.Node> nodes = new ArrayList<>();
             List<Address> peers = new ArrayList<>();
             for (Registration one : directory.registrations()) {
@@ -314,39 +314,40 @@
             mFeed.setNodes(new ReaderTree(new ReaderTree.Node(mGuard, mDomain), nodes), peers);
         }
 
-        private CompletableFuture<PublishedPage> askPlatform(long after, long wait) {
+        private CompletableFuture<PublishedPage> readPlatform(long after, long wait) {
             CompletableFuture<PublishedPage> there = new CompletableFuture<>();
             CompletableFuture<PublishedPage> back = new CompletableFuture<>();
             long epoch = mEpoch;
-            later(PLATFORM_WAY_MILLIS, () -> mPlatform.read(this, after, wait, there));
+            schedule(PLATFORM_LATENCY_MILLIS, () -> mPlatform.read(this, after, wait, there));
             there.whenComplete(
                     (page, failure) ->
-                            later(
-                                    PLATFORM_WAY_MILLIS + onLinkMillis(bytesOfPlatform(page)),
+                            schedule(
+                                    PLATFORM_LATENCY_MILLIS
+                                            + reserveLinkMillis(platformPageBytes(page)),
                                     () -> deliver(epoch, page, failure, back)));
             if (wait > 0) {
-                later(PLATFORM_WAY_MILLIS + wait, mPlatform::answerDue);
+                schedule(PLATFORM_LATENCY_MILLIS + wait, mPlatform::answerDue);
             }
             return back;
         }
 
         /** Puts bytes on the node's link; returns when the last of them has left it. */
-        private long onLinkMillis(long bytes) {
+        private long reserveLinkMillis(long bytes) {
             mLinkFreeAtMillis = Math.max(now(), mLinkFreeAtMillis) + bytes / mLinkBytesPerMilli;
             return mLinkFreeAtMillis - now();
         }
 
-        private long waysMillis(SiteNode from, PublishedPage page) {
+        private long transferMillis(SiteNode from, PublishedPage page) {
             long bytes = page == null ? 0 : mCodec.encode(page, true).length;
-            return Math.max(from.onLinkMillis(bytes), onLinkMillis(bytes));
+            return Math.max(from.reserveLinkMillis(bytes), reserveLinkMillis(bytes));
         }
 
-        private long bytesOfPlatform(PublishedPage page) {
+        private long platformPageBytes(PublishedPage page) {
             return page == null
                     ? 0
                     : page.items().stream().mapToLong(item -> item.value().length).sum()
-                            * BASE64_OF_3_BYTES
-                            / (BASE64_OF_3_BYTES - 1);
+                            * BASE64_CHARS_PER_3_BYTES
+                            / (BASE64_CHARS_PER_3_BYTES - 1);
         }
 
         private void deliver(
@@ -364,26 +365,26 @@
             }
         }
 
-        private PublishedSource node(Address guard) {
+        private PublishedSource sourceOf(Address guard) {
             return mNodes.stream()
                     .filter(node -> node.mGuard.equals(guard))
                     .findFirst()
-                    .<PublishedSource>map(other -> (after, wait) -> ask(other, after, wait))
+                    .<PublishedSource>map(other -> (after, wait) -> readNode(other, after, wait))
                     .orElse((after, wait) -> REFUSED);
         }
 
-        private CompletableFuture<PublishedPage> ask(SiteNode other, long after, long wait) {
+        private CompletableFuture<PublishedPage> readNode(SiteNode other, long after, long wait) {
             CompletableFuture<PublishedPage> back = new CompletableFuture<>();
             long epoch = mEpoch;
-            if (isCut(this, other)) {
+            if (isPartitioned(this, other)) {
                 return back;
             }
-            later(
-                    NODE_WAY_MILLIS,
+            schedule(
+                    NODE_LATENCY_MILLIS,
                     () -> {
                         if (other.mIsDown) {
-                            later(
-                                    NODE_WAY_MILLIS,
+                            schedule(
+                                    NODE_LATENCY_MILLIS,
                                     () ->
                                             deliver(
                                                     epoch,
@@ -394,12 +395,14 @@
                         }
                         long otherEpoch = other.mEpoch;
                         other.mFeed
-                                .published(after, wait)
+                                .changesForNode(after, wait)
                                 .whenComplete(
                                         (page, failure) -> {
-                                            if (!isCut(other, this) && otherEpoch == other.mEpoch) {
-                                                later(
-                                                        NODE_WAY_MILLIS + waysMillis(other, page),
+                                            if (!isPartitioned(other, this)
+                                                    && otherEpoch == other.mEpoch) {
+                                                schedule(
+                                                        NODE_LATENCY_MILLIS
+                                                                + transferMillis(other, page),
                                                         () -> deliver(epoch, page, failure, back));
                                             }
                                         });
