--- a/src/test/java/org/apricotgauge/directory/SiteDirectoryTest.java
+++ b/src/test/java/org/apricotgauge/directory/SiteDirectoryTest.java
@@ -15,27 +15,27 @@
 
     @BeforeEach
     void configure() {
-        take(new SiteChange.Configured(configuration(1)), 0);
+        apply(new SiteChange.Configured(configuration(1)), 0);
     }
 
     @Test
-    void aTargetThatSaysItLeavesIsLeavingAtOnceAndGoneWithItsEntry() {
-        take(registered("a", false), 0);
-        take(registered("a", true), 10);
+    void leavingTargetIsRemovedWithItsRegistration() {
+        apply(registered("a", false), 0);
+        apply(registered("a", true), 10);
 
         assertThat(mDirectory.registrations())
                 .extracting(Registration::leaving)
                 .containsExactly(true);
-        assertThat(take(new SiteChange.Unregistered("a"), 20)).isTrue();
+        assertThat(apply(new SiteChange.Unregistered("a"), 20)).isTrue();
         assertThat(mDirectory.registrations()).isEmpty();
     }
 
     @Test
-    void aTargetThatVanishesServesOnForAMoment() {
+    void targetIsRetainedBrieflyAfterRegistrationEnds() {
         // Its entry ends without a word: it may be alive and only cut off from the platform.
         // Dropped at once, all targets of a service would be lost with the platform's leases.
-        take(registered("a", false), 0);
-        take(new SiteChange.Unregistered("a"), 100);
+        apply(registered("a", false), 0);
+        apply(new SiteChange.Unregistered("a"), 100);
 
         assertThat(mDirectory.expire(100 + KEEP_MILLIS - 1)).isFalse();
         assertThat(mDirectory.registrations()).hasSize(1);
@@ -44,23 +44,23 @@
     }
 
     @Test
-    void afterThePlatformWasAwayALivingTargetHasTimeToRegisterAnew() {
-        take(registered("a", false), 0);
-        mDirectory.take(new SiteChange.Unregistered("a"), 100, 2_300);
+    void targetMayRegisterAgainAfterPlatformOutage() {
+        apply(registered("a", false), 0);
+        mDirectory.apply(new SiteChange.Unregistered("a"), 100, 2_300);
 
         assertThat(mDirectory.expire(2_100)).isFalse();
-        take(registered("a", false), 2_150);
+        apply(registered("a", false), 2_150);
 
         assertThat(mDirectory.expire(60_000)).isFalse();
         assertThat(mDirectory.registrations()).hasSize(1);
     }
 
     @Test
-    void theNewestTargetAtAnAddressReplacesTheOneBefore() {
+    void newestTargetAtAddressReplacesEarlierOne() {
         // After a loss of power a target's new run registers while the entry of the run before has
         // not run out: requests meant for that one would be refused by the new one, for seconds.
-        take(registered("before", false), 0);
-        take(registered("now", false), 10);
+        apply(registered("before", false), 0);
+        apply(registered("now", false), 10);
 
         assertThat(mDirectory.registrations())
                 .extracting(one -> one.target().id())
@@ -68,57 +68,58 @@
     }
 
     @Test
-    void aRunThatStartsAgainUnderTheSameNameIsAnotherTarget() {
+    void restartUnderSameNameIsNewTarget() {
         // A target crashes and starts again within its lease: its entry is written over, never
         // ended. The new run holds nothing of what the fleet remembers of the old one, so that it
         // is a target of its own, and the old one is gone.
-        take(registered("a", new Target("a_1", "s", "vm", "here", "127.0.0.1", 1, 3)), 0);
+        apply(registered("a", new Target("a_1", "s", "vm", "here", "127.0.0.1", 1, 3)), 0);
 
-        assertThat(take(registered("a", new Target("a_2", "s", "vm", "here", "::1", 1, 3)), 10))
+        assertThat(apply(registered("a", new Target("a_2", "s", "vm", "here", "::1", 1, 3)), 10))
                 .isTrue();
         assertThat(mDirectory.registrations())
                 .extracting(one -> one.target().id())
                 .containsExactly("a_2");
-        take(new SiteChange.Unregistered("a"), 20);
+        apply(new SiteChange.Unregistered("a"), 20);
         mDirectory.expire(20 + KEEP_MILLIS);
         assertThat(mDirectory.registrations()).isEmpty();
     }
 
     @Test
-    void anEntryThatNamesNoTargetEndsTheOneUnderItsNameAlone() {
+    void invalidRegistrationRemovesOnlyTargetOfItsName() {
         // Somebody else writes over an entry. Left in force, the old one would get work long after
         // its target has left, since nothing under that name tells of it any more.
-        take(registered("a", new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3)), 0);
-        take(registered("b", new Target("b", "s", "vm", "here", "127.0.0.1", 2, 3)), 0);
+        apply(registered("a", new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3)), 0);
+        apply(registered("b", new Target("b", "s", "vm", "here", "127.0.0.1", 2, 3)), 0);
 
-        assertThat(take(new SiteChange.Unusable("a", "bytes that can't be read"), 10)).isTrue();
+        assertThat(apply(new SiteChange.InvalidRegistration("a", "bytes that can't be read"), 10))
+                .isTrue();
 
         assertThat(mDirectory.registrations()).extracting(Registration::name).containsExactly("b");
-        assertThat(take(new SiteChange.Unusable("other", "no address"), 11)).isFalse();
+        assertThat(apply(new SiteChange.InvalidRegistration("other", "no address"), 11)).isFalse();
     }
 
     @Test
-    void anEntryOfAServiceThatNobodyNamedTakesNoAddressFromATarget() {
-        take(registered("a", new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3)), 0);
-        take(registered("b", new Target("b", "unknown", "vm", "here", "127.0.0.1", 1, 3)), 10);
+    void unknownServiceDoesNotTakeAddress() {
+        apply(registered("a", new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3)), 0);
+        apply(registered("b", new Target("b", "unknown", "vm", "here", "127.0.0.1", 1, 3)), 10);
 
         assertThat(mDirectory.registrations()).extracting(Registration::name).containsExactly("a");
     }
 
     /** Guards against work for a leaving target whose older registration was written late. */
     @Test
-    void anOlderWriteUndoesNoWordOfLeaving() {
+    void olderWriteDoesNotUndoLeaving() {
         Target target = new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3);
         Target nextRun = new Target("a_2", "s", "vm", "here", "127.0.0.1", 1, 3);
-        take(new SiteChange.Registered(new Registration("a", target, true, 8, 0)), 0);
+        apply(new SiteChange.Registered(new Registration("a", target, true, 8, 0)), 0);
 
-        assertThat(take(new SiteChange.Registered(new Registration("a", target, false, 7, 0)), 10))
+        assertThat(apply(new SiteChange.Registered(new Registration("a", target, false, 7, 0)), 10))
                 .isFalse();
         assertThat(mDirectory.registrations())
                 .extracting(Registration::leaving)
                 .containsExactly(true);
 
-        take(new SiteChange.Registered(new Registration("a", nextRun, false, 1, 0)), 20);
+        apply(new SiteChange.Registered(new Registration("a", nextRun, false, 1, 0)), 20);
         assertThat(mDirectory.registrations())
                 .extracting(Registration::leaving)
                 .containsExactly(false);
@@ -126,17 +127,17 @@
 
     /** Guards against work for a target that left, whose older registration was written late. */
     @Test
-    void anOlderWriteBringsNoEndedTargetBack() {
+    void olderWriteDoesNotRestoreEndedTarget() {
         Target target = new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3);
         Target nextRun = new Target("a_2", "s", "vm", "here", "127.0.0.1", 1, 3);
-        take(new SiteChange.Registered(new Registration("a", target, true, 8, 0)), 0);
-        take(new SiteChange.Unregistered("a"), 10);
+        apply(new SiteChange.Registered(new Registration("a", target, true, 8, 0)), 0);
+        apply(new SiteChange.Unregistered("a"), 10);
 
-        assertThat(take(new SiteChange.Registered(new Registration("a", target, false, 7, 0)), 20))
+        assertThat(apply(new SiteChange.Registered(new Registration("a", target, false, 7, 0)), 20))
                 .isFalse();
         assertThat(mDirectory.registrations()).isEmpty();
 
-        take(new SiteChange.Registered(new Registration("a", nextRun, false, 1, 0)), 30);
+        apply(new SiteChange.Registered(new Registration("a", nextRun, false, 1, 0)), 30);
         assertThat(mDirectory.registrations())
                 .extracting(one -> one.target().id())
                 .containsExactly("a_2");
@@ -144,12 +145,12 @@
 
     /** Guards against a target that keeps its place beyond its time by a write that came late. */
     @Test
-    void anOlderWriteKeepsNoTargetWhoseRegistrationEnded() {
+    void olderWriteDoesNotExtendRetention() {
         Target target = new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3);
-        take(new SiteChange.Registered(new Registration("a", target, false, 8, 0)), 0);
-        take(new SiteChange.Unregistered("a"), 10);
+        apply(new SiteChange.Registered(new Registration("a", target, false, 8, 0)), 0);
+        apply(new SiteChange.Unregistered("a"), 10);
 
-        take(new SiteChange.Registered(new Registration("a", target, false, 7, 0)), 20);
+        apply(new SiteChange.Registered(new Registration("a", target, false, 7, 0)), 20);
 
         assertThat(mDirectory.expire(10 + KEEP_MILLIS)).isTrue();
         assertThat(mDirectory.registrations()).isEmpty();
@@ -157,27 +158,27 @@
 
     /** Guards against a living target that stays out, since its registration had run out. */
     @Test
-    void aNewerWriteBringsAnEndedTargetBack() {
+    void newerWriteRestoresEndedTarget() {
         Target target = new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3);
-        take(new SiteChange.Registered(new Registration("a", target, false, 7, 0)), 0);
-        take(new SiteChange.Unregistered("a"), 10);
+        apply(new SiteChange.Registered(new Registration("a", target, false, 7, 0)), 0);
+        apply(new SiteChange.Unregistered("a"), 10);
         mDirectory.expire(10 + KEEP_MILLIS);
 
-        take(new SiteChange.Registered(new Registration("a", target, false, 8, 0)), 5_000);
+        apply(new SiteChange.Registered(new Registration("a", target, false, 8, 0)), 5_000);
 
         assertThat(mDirectory.registrations()).hasSize(1);
     }
 
     @Test
-    void anOlderVersionNeverComesBack() {
-        take(new SiteChange.Configured(configuration(7)), 0);
+    void ignoresOlderVersion() {
+        apply(new SiteChange.Configured(configuration(7)), 0);
 
-        assertThat(take(new SiteChange.Configured(configuration(5)), 1)).isFalse();
+        assertThat(apply(new SiteChange.Configured(configuration(5)), 1)).isFalse();
         assertThat(mDirectory.configuration().version()).isEqualTo(7);
     }
 
-    private boolean take(SiteChange change, long nowMillis) {
-        return mDirectory.take(change, nowMillis, nowMillis + KEEP_MILLIS);
+    private boolean apply(SiteChange change, long nowMillis) {
+        return mDirectory.apply(change, nowMillis, nowMillis + KEEP_MILLIS);
     }
 
     private static SiteChange registered(String id, boolean leaving) {
--- /dev/null
+++ b/src/test/java/org/apricotgauge/directory/WaitingReadersTest.java
@@ -0,0 +1,137 @@
+package org.apricotgauge.directory;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import org.junit.jupiter.api.Test;
+
+class WaitingReadersTest {
+    private static final PlatformTimes TIMES = new PlatformTimes(2_000, 1_500);
+
+    private final FakeView mView = new FakeView();
+    private final WaitingReaders mReaders = new WaitingReaders(mView, TIMES);
+
+    private static final class FakeView implements WaitingReaders.View {
+        private ItemTable mItems =
+                ItemTable.EMPTY.with(new PublishedPage(5, true, List.of(item("a", 5))));
+        private long mAgeMillis;
+        private boolean mIsAgeKnown = true;
+        private boolean mCanRefresh = true;
+        private int mRefreshRequests;
+        private int mStaleAnswers;
+
+        @Override
+        public ItemTable items() {
+            return mItems;
+        }
+
+        @Override
+        public long ageMillis() {
+            return mAgeMillis;
+        }
+
+        @Override
+        public boolean isAgeKnown() {
+            return mIsAgeKnown;
+        }
+
+        @Override
+        public boolean requestRefresh() {
+            mRefreshRequests++;
+            return mCanRefresh;
+        }
+
+        @Override
+        public void onStaleAnswer() {
+            mStaleAnswers++;
+        }
+    }
+
+    private static PublishedItem item(String key, long revision) {
+        return new PublishedItem(key, new byte[] {1}, revision, false);
+    }
+
+    private CompletableFuture<PublishedPage> submit(long after, long waitMillis, long nowMillis) {
+        CompletableFuture<PublishedPage> answer = new CompletableFuture<>();
+        mReaders.submit(after, waitMillis, answer, nowMillis);
+        return answer;
+    }
+
+    @Test
+    void answersWatchAtNextChange() {
+        CompletableFuture<PublishedPage> answer = submit(5, 10_000, 0);
+        mReaders.answerDue(100);
+        assertThat(answer).isNotDone();
+
+        mView.mItems = mView.mItems.with(new PublishedPage(7, false, List.of(item("b", 7))));
+        mReaders.answerDue(200);
+
+        assertThat(answer.join().items()).extracting(PublishedItem::key).containsExactly("b");
+    }
+
+    @Test
+    void watchWithoutChangeReturnsViewAge() {
+        CompletableFuture<PublishedPage> answer = submit(5, 1_000, 0);
+        mView.mAgeMillis = 321;
+
+        mReaders.answerDue(1_000);
+
+        assertThat(answer.join().items()).isEmpty();
+        assertThat(answer.join().ageMillis()).isEqualTo(321);
+        assertThat(mView.mStaleAnswers).isZero();
+    }
+
+    @Test
+    void answersQueryOnceViewIsFresh() {
+        mView.mAgeMillis = TIMES.maxFreshAgeMillis() + 1;
+        CompletableFuture<PublishedPage> answer = submit(5, 0, 0);
+        assertThat(answer).isNotDone();
+        assertThat(mView.mRefreshRequests).isEqualTo(1);
+
+        mView.mAgeMillis = 4;
+        mReaders.answerDue(4);
+
+        assertThat(answer.join().ageMillis()).isEqualTo(4);
+    }
+
+    @Test
+    void answersQueryAtTimeoutIfViewStaysStale() {
+        // The platform does not answer this node. Whoever reads from it has its own bound to keep,
+        // and must learn soon that it has to ask somebody else.
+        mView.mAgeMillis = 1_000;
+        CompletableFuture<PublishedPage> answer = submit(5, 0, 0);
+
+        mReaders.answerDue(TIMES.nodeTimeoutMillis());
+
+        assertThat(answer.join().ageMillis()).isEqualTo(1_000);
+        assertThat(mView.mStaleAnswers).isEqualTo(1);
+    }
+
+    @Test
+    void answersAtOnceIfPlatformIsLost() {
+        mView.mAgeMillis = 1_000;
+        mView.mCanRefresh = false;
+
+        assertThat(submit(5, 0, 0)).isCompleted();
+    }
+
+    @Test
+    void reportsUnknownAgeAtTimeout() {
+        mView.mIsAgeKnown = false;
+        CompletableFuture<PublishedPage> answer = submit(5, 0, 0);
+        assertThat(answer).isNotDone();
+
+        mReaders.answerDue(TIMES.nodeTimeoutMillis());
+
+        assertThat(answer.join().isAgeKnown()).isFalse();
+    }
+
+    @Test
+    void answersReadersBeyondLimitAtOnce() {
+        for (int i = 0; i < WaitingReaders.MAX_WAITING; i++) {
+            assertThat(submit(5, 10_000, 0)).isNotDone();
+        }
+        assertThat(submit(5, 10_000, 0)).isCompleted();
+    }
+}
--- a/src/test/java/org/apricotgauge/node/SidecarOnPlatformTest.java
+++ b/src/test/java/org/apricotgauge/node/SidecarOnPlatformTest.java
@@ -163,9 +163,9 @@
         CompletableFuture<PublishedPage> change = peer.read(known.revision(), 8_000);
         mPlatform.publish(LOOPBACK, "yard");
 
-        assertThat(known.whole()).isTrue();
+        assertThat(known.full()).isTrue();
         assertThat(known.items()).isNotEmpty();
-        assertThat(known.tellsAge()).isTrue();
+        assertThat(known.isAgeKnown()).isTrue();
         assertThat(change.get(10, TimeUnit.SECONDS).items()).isNotEmpty();
     }
 
@@ -177,7 +177,7 @@
                         .writeValueAsBytes(
                                 Map.of("revision", 5, "whole", true, "items", List.of()));
 
-        assertThat(new PageCodec().decode(page).tellsAge()).isFalse();
+        assertThat(new PageCodec().decode(page).isAgeKnown()).isFalse();
     }
 
     private ContentResponse call(String id) throws Exception {
--- a/src/test/java/org/apricotgauge/platform/kv/KvDecoderTest.java
+++ b/src/test/java/org/apricotgauge/platform/kv/KvDecoderTest.java
@@ -101,7 +101,7 @@
 
         var registration = ((SiteChange.Registered) change).registration();
         assertThat(registration.leaving()).isTrue();
-        assertThat(registration.coldMillis()).isEqualTo(200);
+        assertThat(registration.coldRemainingMillis()).isEqualTo(200);
         assertThat(registration.name()).isEqualTo("i-1");
         assertThat(TargetRun.nameOf(registration.target().id())).isEqualTo("i-1");
         assertThat(registration.target().vm()).isEqualTo("10.1.0.9");
@@ -138,7 +138,7 @@
                 "{\"address\":7,\"info\":{},\"status\":{}}",
             })
     void anEntryOfAnotherWriterNamesNoTarget(String value) {
-        assertThat(decode("servers/i-1", value)).isInstanceOf(SiteChange.Unusable.class);
+        assertThat(decode("servers/i-1", value)).isInstanceOf(SiteChange.InvalidRegistration.class);
     }
 
     @ParameterizedTest
@@ -167,7 +167,7 @@
 
         SiteChange change = decode("servers/i-1", entry.replace(whole, wrong == null ? "" : wrong));
 
-        assertThat(change).isInstanceOf(SiteChange.Unusable.class);
+        assertThat(change).isInstanceOf(SiteChange.InvalidRegistration.class);
     }
 
     @Test
--- a/src/test/java/org/apricotgauge/platform/kv/KvEntryProperties.java
+++ b/src/test/java/org/apricotgauge/platform/kv/KvEntryProperties.java
@@ -47,12 +47,13 @@
                         entry("one", 11),
                         entry("two", 22),
                         entry("hit", 99))
-                .forEach(known -> directory.take(decoder.decode(known), 0, 0));
+                .forEach(known -> directory.apply(decoder.decode(known), 0, 0));
 
         SiteChange change = decoder.decode(item("servers/hit", bytes));
-        directory.take(change, 1, 1);
+        directory.apply(change, 1, 1);
 
-        assertThat(change).isInstanceOfAny(SiteChange.Registered.class, SiteChange.Unusable.class);
+        assertThat(change)
+                .isInstanceOfAny(SiteChange.Registered.class, SiteChange.InvalidRegistration.class);
         assertThat(directory.registrations()).extracting(one -> one.name()).contains("one", "two");
         assertThat(directory.registrations()).hasSize(isOfNamedService(change) ? 3 : 2);
     }
--- a/src/test/java/org/apricotgauge/platform/kv/KvSourceTest.java
+++ b/src/test/java/org/apricotgauge/platform/kv/KvSourceTest.java
@@ -66,8 +66,8 @@
         PublishedPage page = mSource.read(0, 0).join();
 
         assertThat(mAsked.get(0)).contains("kv-range").contains("allowStale=1");
-        assertThat(page.whole()).isTrue();
-        assertThat(page.tellsAge()).isFalse();
+        assertThat(page.full()).isTrue();
+        assertThat(page.isAgeKnown()).isFalse();
     }
 
     @Test
@@ -93,7 +93,7 @@
 
         assertThat(mAsked.get(0)).contains("kv-watch").contains("after=4");
         assertThat(mAsked.get(1)).contains("kv-range").doesNotContain("allowStale");
-        assertThat(page.whole()).isTrue();
+        assertThat(page.full()).isTrue();
         assertThat(page.ageMillis()).isZero();
     }
 }
