--- a/src/main/java/org/apricotgauge/bench/ControlFleet.java
+++ b/src/main/java/org/apricotgauge/bench/ControlFleet.java
@@ -96,7 +96,7 @@
     /** Waits until all nodes are open and the links of each have settled. */
     void awaitOpen(long limitMillis) throws Exception {
         for (Node node : mNodes) {
-            node.mPlane.opened().get(limitMillis, TimeUnit.MILLISECONDS);
+            node.mPlane.ready().get(limitMillis, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/org/apricotgauge/caller/AnswerDelivery.java
+++ b/src/main/java/org/apricotgauge/caller/AnswerDelivery.java
@@ -2,9 +2,9 @@
 
 import org.apricotgauge.decision.attempt.Outcome;
 import org.apricotgauge.decision.attempt.UnknownReason;
-import org.apricotgauge.http.AnswerStream;
-import org.apricotgauge.http.Outcomes;
-import org.apricotgauge.http.WatchedSource;
+import org.apricotgauge.http.FailureTrackingSource;
+import org.apricotgauge.http.OutcomeCodec;
+import org.apricotgauge.http.ResponseForwarder;
 import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
@@ -45,9 +45,9 @@
     /** Gives an answer while it comes. */
     void forward(
             TargetAttempt attempt, org.eclipse.jetty.client.Response answer, Content.Source body) {
-        AnswerStream.copyHead(answer, mResponse);
-        WatchedSource watched = new WatchedSource(body);
-        AnswerStream.copyBody(
+        ResponseForwarder.copyHead(answer, mResponse);
+        FailureTrackingSource watched = new FailureTrackingSource(body);
+        ResponseForwarder.copyBody(
                 answer,
                 watched,
                 mResponse,
@@ -63,17 +63,19 @@
         mCallback.succeeded();
     }
 
-    private void onForwardFailed(TargetAttempt attempt, WatchedSource body, Throwable cause) {
+    private void onForwardFailed(
+            TargetAttempt attempt, FailureTrackingSource body, Throwable cause) {
         attempt.end();
         mContext.metrics().brokenAnswers().inc();
         mReporter.recordOutcome(new Outcome.Unknown(UnknownReason.ANSWER_LOST));
         if (body.hasFailed() && !mResponse.isCommitted()) {
             mResponse.reset();
-            Outcomes.write(mResponse, mCallback, new Outcome.Unknown(UnknownReason.ANSWER_LOST));
+            OutcomeCodec.write(
+                    mResponse, mCallback, new Outcome.Unknown(UnknownReason.ANSWER_LOST));
         } else {
             // The head is out: the server closes the connection without ending the message, so
             // that the caller does not take half an answer for a whole one.
-            AnswerStream.breakOff(mRequest, mCallback, cause);
+            ResponseForwarder.abort(mRequest, mCallback, cause);
         }
     }
 
@@ -82,10 +84,10 @@
         mReporter.recordOutcome(outcome);
         if (outcome instanceof Outcome.NotRun notRun) {
             mContext.metrics().notRun().inc();
-            Outcomes.write(mResponse, mCallback, notRun, mContext.dialect());
+            OutcomeCodec.write(mResponse, mCallback, notRun, mContext.dialect());
         } else if (outcome instanceof Outcome.Unknown unknown) {
             mContext.metrics().unknown().inc();
-            Outcomes.write(mResponse, mCallback, unknown);
+            OutcomeCodec.write(mResponse, mCallback, unknown);
         } else {
             throw new IllegalStateException("an answer must be passed on, not told: " + outcome);
         }
--- a/src/main/java/org/apricotgauge/caller/BufferedAnswer.java
+++ b/src/main/java/org/apricotgauge/caller/BufferedAnswer.java
@@ -2,8 +2,8 @@
 
 import java.nio.ByteBuffer;
 import java.util.concurrent.CompletableFuture;
-import org.apricotgauge.http.AnswerStream;
 import org.apricotgauge.http.Bodies;
+import org.apricotgauge.http.ResponseForwarder;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Response;
@@ -40,7 +40,7 @@
 
     /** Writes it as the final answer. */
     void write(Response response, Callback callback) {
-        AnswerStream.copyHead(mHead, response);
+        ResponseForwarder.copyHead(mHead, response);
         response.getHeaders().put(HttpHeader.CONTENT_LENGTH, mBody.length);
         response.write(true, ByteBuffer.wrap(mBody), callback);
     }
--- a/src/main/java/org/apricotgauge/caller/CallerExchange.java
+++ b/src/main/java/org/apricotgauge/caller/CallerExchange.java
@@ -15,8 +15,8 @@
 import org.apricotgauge.decision.health.HealthGate;
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.decision.routing.ServiceTable;
+import org.apricotgauge.http.DisconnectDetectingEndPoint;
 import org.apricotgauge.http.Fingerprints;
-import org.apricotgauge.http.HangUpEndPoint;
 import org.apricotgauge.http.ReplayableBody;
 import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Request;
@@ -90,7 +90,7 @@
         mQuarantine =
                 new QuarantineCheck(
                         context.quarantine(),
-                        () -> Fingerprints.headOf(request, asked.memberId()),
+                        () -> Fingerprints.headHash(request, asked.memberId()),
                         Fingerprints.hasBody(request),
                         mBody);
         mDeadlineMillis = context.ticker().millis() + asked.timeoutMillis();
@@ -120,7 +120,9 @@
                                 Math.max(1, remainingMillis()),
                                 TimeUnit.MILLISECONDS);
         mRequest.addFailureListener(this::onCallerDisconnected);
-        HangUpEndPoint.watch(mRequest, () -> onCallerDisconnected(HangUpEndPoint.hangUp()));
+        DisconnectDetectingEndPoint.watch(
+                mRequest,
+                () -> onCallerDisconnected(DisconnectDetectingEndPoint.newDisconnectException()));
         mQuarantine.whenIdentified(this::startNextAttempt);
     }
 
@@ -435,7 +437,7 @@
     private void forwardAnswer(
             TargetAttempt attempt, org.eclipse.jetty.client.Response answer, Content.Source body) {
         cancelDeadline();
-        HangUpEndPoint.release(mRequest);
+        DisconnectDetectingEndPoint.unwatch(mRequest);
         mDelivery.forward(attempt, answer, body);
     }
 
@@ -483,7 +485,7 @@
             mEnded = true;
         }
         cancelDeadline();
-        HangUpEndPoint.release(mRequest);
+        DisconnectDetectingEndPoint.unwatch(mRequest);
         BufferedAnswer kept;
         synchronized (this) {
             kept = mBufferedAnswer;
--- a/src/main/java/org/apricotgauge/caller/DirectAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/DirectAttempt.java
@@ -58,7 +58,7 @@
                     ForwardedHeaders.copyRequest(from.getHeaders(), headers);
                     mExchange.callerRequest().requester().removeCredentials(headers);
                     mContext.dialect()
-                            .towardsTarget(
+                            .addTargetHeaders(
                                     headers,
                                     mCandidate.target().id(),
                                     leftMillis,
--- a/src/main/java/org/apricotgauge/caller/EntryContext.java
+++ b/src/main/java/org/apricotgauge/caller/EntryContext.java
@@ -51,6 +51,6 @@
      * Returns whether there is a guard beside the target that did not refuse a connection just now.
      */
     boolean hasReachableGuard(Candidate candidate) {
-        return candidate.guard() != null && !guards.isDown(candidate.guard());
+        return candidate.guard() != null && !guards.isUnavailable(candidate.guard());
     }
 }
--- a/src/main/java/org/apricotgauge/caller/EntryHandler.java
+++ b/src/main/java/org/apricotgauge/caller/EntryHandler.java
@@ -21,7 +21,7 @@
 import org.apricotgauge.decision.routing.SplitPolicy;
 import org.apricotgauge.http.Bodies;
 import org.apricotgauge.http.ForwardedHeaders;
-import org.apricotgauge.http.Outcomes;
+import org.apricotgauge.http.OutcomeCodec;
 import org.apricotgauge.model.Configuration;
 import org.apricotgauge.model.Member;
 import org.apricotgauge.model.Route;
@@ -227,7 +227,7 @@
     private void writeNotRun(Response response, Callback callback, NotRunReason reason) {
         mContext.metrics().notRun().inc();
         Outcome.NotRun outcome = new Outcome.NotRun(reason, RETRY_AFTER_MILLIS);
-        Outcomes.write(response, callback, outcome, mContext.dialect());
+        OutcomeCodec.write(response, callback, outcome, mContext.dialect());
     }
 
     /** Serves a request that another node sent here because this one remembers its key. */
--- a/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
@@ -17,7 +17,7 @@
 import org.apricotgauge.http.Bodies;
 import org.apricotgauge.http.ForwardedHeaders;
 import org.apricotgauge.http.HeaderNames;
-import org.apricotgauge.http.Outcomes;
+import org.apricotgauge.http.OutcomeCodec;
 import org.apricotgauge.http.UpstreamExchange;
 import org.apricotgauge.model.StartLimit;
 import org.eclipse.jetty.client.Request;
@@ -71,7 +71,7 @@
         long waitMillis =
                 Math.max(1, Math.min(acknowledgementTimeoutMillis(), mExchange.remainingMillis()));
         mContext.guards()
-                .sighting(mCandidate.guard(), waitMillis)
+                .clockEstimate(mCandidate.guard(), waitMillis)
                 .whenComplete(
                         (sighting, failure) -> {
                             if (failure == null) {
@@ -87,7 +87,7 @@
         recordPathFailure();
         mTracker.recordOutcome(ObservedOutcome.PATH_FAULT);
         mContext.metrics().pathFaults().inc();
-        mContext.guards().connectFailed(mCandidate.guard());
+        mContext.guards().onConnectFailed(mCandidate.guard());
         mExchange.onAttemptEnded(this, new Outcome.NotRun(NotRunReason.NEVER_SENT, 0));
     }
 
@@ -125,7 +125,7 @@
                     headers.put(HeaderNames.TIMEOUT_MILLIS, leftMillis);
                     headers.put(HeaderNames.PRIORITY, priority());
                     headers.put(
-                            HeaderNames.CAUTION,
+                            HeaderNames.RISK_TOLERANCE,
                             mExchange.riskTolerance().name().toLowerCase(Locale.ROOT));
                     mCandidate
                             .load()
@@ -134,7 +134,7 @@
                                     limit -> headers.put(HeaderNames.TARGET_LIMIT, limit.toText()));
                     addQueueingHeaders(headers);
                     addRetryHeaders(headers);
-                    mContext.dialect().markOrigin(headers);
+                    mContext.dialect().addOriginHeaders(headers);
                     mHopStartMillis = mContext.observer().addHopHeaders(headers);
                 });
         to.body(mExchange.body().open());
@@ -145,24 +145,27 @@
         boolean parentRepeats =
                 mExchange.parentId().filter(mContext.observer()::isRetry).isPresent();
         if (mExchange.parentId().isPresent()) {
-            headers.put(HeaderNames.CALL, "1");
+            headers.put(HeaderNames.NESTED_CALL, "1");
         }
         if (mExchange.isRetry()) {
             headers.put(
-                    HeaderNames.REPEAT,
-                    mExchange.isRetryPaid() ? HeaderNames.REPEAT_PAID : HeaderNames.REPEAT_OWN);
+                    HeaderNames.RETRY,
+                    mExchange.isRetryPaid()
+                            ? HeaderNames.RETRY_PREPAID
+                            : HeaderNames.RETRY_OF_REQUEST);
         } else if (parentRepeats) {
-            headers.put(HeaderNames.REPEAT, HeaderNames.REPEAT_PARENT);
+            headers.put(HeaderNames.RETRY, HeaderNames.RETRY_OF_PARENT);
         }
     }
 
     private void addQueueingHeaders(HttpFields.Mutable headers) {
         QueueingPolicy patience = mExchange.queueingPolicy();
         if (patience != QueueingPolicy.MAY_WAIT) {
-            headers.put(HeaderNames.PATIENCE, patience.name().toLowerCase(Locale.ROOT));
+            headers.put(HeaderNames.QUEUEING_POLICY, patience.name().toLowerCase(Locale.ROOT));
         }
         headers.put(
-                HeaderNames.USEFUL_MILLIS, Math.max(0, mExchange.softDeadlineRemainingMillis()));
+                HeaderNames.SOFT_DEADLINE_MILLIS,
+                Math.max(0, mExchange.softDeadlineRemainingMillis()));
     }
 
     private String priority() {
@@ -189,7 +192,7 @@
     @Override
     public void onAcknowledged(HttpFields fields) {
         mAcknowledged = true;
-        mContext.guards().sighted(mCandidate.guard(), fields);
+        mContext.guards().recordStamp(mCandidate.guard(), fields);
         mContext.observer().onGuardAcknowledged(fields, mHopStartMillis);
         if (!mTracker.isEnded()) {
             startTimeout(
@@ -202,16 +205,16 @@
     public void onAnswer(Response answer, Content.Source body) {
         cancelTimeout();
         HttpFields headers = answer.getHeaders();
-        mContext.guards().sighted(mCandidate.guard(), headers);
+        mContext.guards().recordStamp(mCandidate.guard(), headers);
         mContext.observer().onGuardAnswered(mCandidate.target(), headers);
         reportLoad(headers);
         if (headers.contains(HeaderNames.TARGET_LEAVING)) {
             mContext.observer().onTargetLeaving(mCandidate.target());
         }
-        if (headers.contains(HeaderNames.RETRY_PAID)) {
+        if (headers.contains(HeaderNames.NEXT_RETRY_PREPAID)) {
             mExchange.onRetryPaid(this);
         }
-        Optional<Outcome> outcome = Outcomes.read(headers);
+        Optional<Outcome> outcome = OutcomeCodec.read(headers);
         if (outcome.isPresent()) {
             end();
             Bodies.discard(body);
@@ -219,7 +222,7 @@
             if (outcome.get() instanceof Outcome.NotRun notRun
                     && notRun.reason() == NotRunReason.LEAVING) {
                 // It stops, and its port closes in a moment.
-                mContext.guards().connectFailed(mCandidate.guard());
+                mContext.guards().onConnectFailed(mCandidate.guard());
             }
             mExchange.onAttemptEnded(this, outcome.get());
             return;
@@ -234,7 +237,7 @@
             return;
         }
         mTracker.recordOutcome(
-                headers.contains(HeaderNames.CALL_LOST)
+                headers.contains(HeaderNames.NESTED_CALL_FAILED)
                         ? ObservedOutcome.CANCELLED
                         : AttemptTracker.outcomeOf(answer.getStatus()));
         mExchange.onAnswer(this, answer, body);
@@ -268,7 +271,7 @@
 
     private void onTimeout() {
         mContext.metrics().pathFaults().inc();
-        mContext.guards().wentSilent(mCandidate.guard());
+        mContext.guards().onUnresponsive(mCandidate.guard());
         fence(true);
     }
 
--- a/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
@@ -11,7 +11,7 @@
 import org.apricotgauge.decision.routing.Candidate;
 import org.apricotgauge.http.ForwardedHeaders;
 import org.apricotgauge.http.HeaderNames;
-import org.apricotgauge.http.Outcomes;
+import org.apricotgauge.http.OutcomeCodec;
 import org.apricotgauge.http.UpstreamExchange;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.target.GuardHandler;
@@ -48,7 +48,7 @@
         long waitMillis =
                 Math.max(1, Math.min(acknowledgementTimeoutMillis(), mExchange.remainingMillis()));
         mContext.guards()
-                .sighting(mOwner, waitMillis)
+                .clockEstimate(mOwner, waitMillis)
                 .whenComplete(
                         (sighting, failure) -> {
                             if (failure == null) {
@@ -96,7 +96,7 @@
 
     private void onTimeout() {
         mContext.metrics().pathFaults().inc();
-        mContext.guards().wentSilent(mOwner);
+        mContext.guards().onUnresponsive(mOwner);
         AttemptTracker.abort(mUpstream);
         mExchange.onAttemptEnded(this, new Outcome.Unknown(UnknownReason.GUARD_UNREACHABLE));
     }
@@ -108,7 +108,7 @@
 
     @Override
     public void onAcknowledged(HttpFields fields) {
-        mContext.guards().sighted(mOwner, fields);
+        mContext.guards().recordStamp(mOwner, fields);
         startTimeout(
                 GuardTimeoutPolicy.DEFAULT.heartbeatTimeoutMillis(mContext.lagMeter().lagMillis()));
     }
@@ -116,8 +116,8 @@
     @Override
     public void onAnswer(Response answer, Content.Source body) {
         cancelTimeout();
-        mContext.guards().sighted(mOwner, answer.getHeaders());
-        Optional<Outcome> outcome = Outcomes.read(answer.getHeaders());
+        mContext.guards().recordStamp(mOwner, answer.getHeaders());
+        Optional<Outcome> outcome = OutcomeCodec.read(answer.getHeaders());
         if (outcome.isPresent()) {
             body.fail(new IllegalStateException("an outcome has no body of interest"));
             mExchange.onAttemptEnded(this, outcome.get());
--- a/src/main/java/org/apricotgauge/caller/KeyedRequestHandler.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedRequestHandler.java
@@ -12,7 +12,7 @@
 import org.apricotgauge.decision.routing.ServiceTable;
 import org.apricotgauge.http.Bodies;
 import org.apricotgauge.http.HeaderNames;
-import org.apricotgauge.http.Outcomes;
+import org.apricotgauge.http.OutcomeCodec;
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.server.Request;
@@ -153,18 +153,18 @@
                     HttpStatus.UNPROCESSABLE_ENTITY_422,
                     IdempotencyKey.HEADER + " was used for another request\n");
         } else if (verdict instanceof KeyDecision.HistoryUnknown unknown) {
-            Outcomes.write(
+            OutcomeCodec.write(
                     response,
                     callback,
                     new Outcome.NotRun(
                             NotRunReason.KEY_HISTORY_UNKNOWN, unknown.retryAfterMillis()));
         } else if (verdict instanceof KeyDecision.LedgerFull full) {
-            Outcomes.write(
+            OutcomeCodec.write(
                     response,
                     callback,
                     new Outcome.NotRun(NotRunReason.LEDGER_FULL, full.retryAfterMillis()));
         } else {
-            Outcomes.write(response, callback, new Outcome.Unknown(UnknownReason.STARTED));
+            OutcomeCodec.write(response, callback, new Outcome.Unknown(UnknownReason.STARTED));
         }
     }
 
--- a/src/main/java/org/apricotgauge/caller/QuarantineCheck.java
+++ b/src/main/java/org/apricotgauge/caller/QuarantineCheck.java
@@ -4,7 +4,7 @@
 import org.apricotgauge.decision.quarantine.BodyHash;
 import org.apricotgauge.decision.quarantine.Fingerprint;
 import org.apricotgauge.decision.quarantine.QuarantineTable;
-import org.apricotgauge.http.HashedBody;
+import org.apricotgauge.http.HashingBody;
 import org.apricotgauge.http.ReplayableBody;
 import org.eclipse.jetty.client.Request;
 
@@ -72,7 +72,7 @@
         // What an attempt before had hashed of the body is sent and hashed again.
         BodyHash hash = new BodyHash();
         mBodyHash = hash;
-        return new HashedBody(body, hash);
+        return new HashingBody(body, hash);
     }
 
     private synchronized long headHash() {
--- a/src/main/java/org/apricotgauge/caller/RequesterResolver.java
+++ b/src/main/java/org/apricotgauge/caller/RequesterResolver.java
@@ -36,7 +36,7 @@
     Optional<Requester> resolveCaller(Configuration configuration, Route route, Request request) {
         HttpFields headers = request.getHeaders();
         if (!configuration.hasKeys()) {
-            return Optional.of(Requester.unauthenticated(mDialect.namedMember(headers)));
+            return Optional.of(Requester.unauthenticated(mDialect.declaredMember(headers)));
         }
         Access access = AccessPolicy.decide(configuration, route, BearerKey.read(headers));
         if (access instanceof Access.Granted granted) {
--- a/src/main/java/org/apricotgauge/control/ControlListener.java
+++ b/src/main/java/org/apricotgauge/control/ControlListener.java
@@ -40,15 +40,15 @@
     default void onEvent(GossipEvent event) {}
 
     /** An invariant broke and the control plane has ended; the process must end, too. */
-    default void onBroken(RuntimeException failure) {}
+    default void onFatalError(RuntimeException failure) {}
 
     /**
      * Returns a reading of the node's hybrid logical clock to send ahead of news, if it has one.
      */
-    default Optional<HlcTimestamp> clock() {
+    default Optional<HlcTimestamp> clockReading() {
         return Optional.empty();
     }
 
     /** Takes in the reading that came ahead of news. */
-    default void onClock(HlcTimestamp reading) {}
+    default void onClockReading(HlcTimestamp reading) {}
 }
--- a/src/main/java/org/apricotgauge/control/ControlPlane.java
+++ b/src/main/java/org/apricotgauge/control/ControlPlane.java
@@ -52,17 +52,18 @@
     private final ConfigFold<H> mFold;
     private final ControlListener<H> mListener;
     private final MetricRegistry mMetrics;
-    private final FrameFilter mFilter;
+    private final FrameFilter mFrameFilter;
     private final Ticker mTicker = Ticker.system();
     private final PeerLoop mLoop;
-    private final GossipNode<H> mNode;
-    private final PlatformReader<H> mPlatform;
-    private final ReadinessPolicy mOpening;
+    private final GossipNode<H> mGossipNode;
+    private final PlatformReader<H> mPlatformReader;
+    private final ReadinessPolicy mReadinessPolicy;
     private final AtomicReference<H> mHistory;
-    private final AtomicReference<VmView> mView = new AtomicReference<>(VmView.EMPTY);
-    private final CompletableFuture<Void> mOpened = new CompletableFuture<>();
+    private final AtomicReference<VmView> mVmView = new AtomicReference<>(VmView.EMPTY);
+    private final CompletableFuture<Void> mReady = new CompletableFuture<>();
     private final long mStartedMillis;
-    private volatile ReadinessPolicy.Decision mDecision = ReadinessPolicy.Decision.NO_RESPONSE;
+    private volatile ReadinessPolicy.Decision mReadinessDecision =
+            ReadinessPolicy.Decision.NO_RESPONSE;
     private volatile WatcherElection.Role mRole = WatcherElection.Role.PASSIVE;
 
     private ControlPlane(
@@ -77,24 +78,26 @@
         mFold = fold;
         mListener = listener;
         mMetrics = metrics;
-        mFilter = filter;
+        mFrameFilter = filter;
         mLoop = loop;
         mHistory = new AtomicReference<>(fold.empty());
         mStartedMillis = mTicker.millis();
-        mOpening = new ReadinessPolicy(settings.patienceMillis());
+        mReadinessPolicy = new ReadinessPolicy(settings.readinessTimeoutMillis());
         NodeIdentity identity =
                 new NodeIdentity(
                         settings.site(), settings.vm(), settings.incarnation(), settings.seeds());
-        mNode =
+        mGossipNode =
                 new GossipNode<>(
                         identity,
                         settings.gossip(),
                         fold,
-                        new Port(),
-                        new NodeEvents(),
+                        new LoopTransport(),
+                        new GossipNodeListener(),
                         settings.seed(),
                         mStartedMillis);
-        mPlatform = new PlatformReader<>(settings, platform, mNode, fold, new Loop(), metrics);
+        mPlatformReader =
+                new PlatformReader<>(
+                        settings, platform, mGossipNode, fold, new PlatformLoopExecutor(), metrics);
     }
 
     /**
@@ -140,7 +143,7 @@
                         metrics,
                         Checks.notNull("filter", filter),
                         loop);
-        loop.start(plane.new LoopEvents());
+        loop.start(plane.new PeerLoopHandler());
         return plane;
     }
 
@@ -150,8 +153,8 @@
     }
 
     /** Returns what is known of the VMs; a request reads it once. */
-    public VmView liveView() {
-        return mView.get();
+    public VmView vmView() {
+        return mVmView.get();
     }
 
     /**
@@ -159,17 +162,17 @@
      * somebody confirmed its version. Cheap enough for each request.
      */
     public boolean mayAct() {
-        return mNode.stalenessGate().mayAct(mTicker.millis());
+        return mGossipNode.stalenessGate().mayAct(mTicker.millis());
     }
 
     /** Returns a future that completes once the node may open to callers. */
-    public CompletableFuture<Void> opened() {
-        return mOpened;
+    public CompletableFuture<Void> ready() {
+        return mReady;
     }
 
     /** Returns what a fresh node waits for, or {@code OPEN}. */
-    public ReadinessPolicy.Decision opening() {
-        return mDecision;
+    public ReadinessPolicy.Decision readinessDecision() {
+        return mReadinessDecision;
     }
 
     /** Returns whether this node watches the platform at present. */
@@ -202,7 +205,7 @@
         if (!target.equals(LeavingNotice.WHOLE_VM)) {
             Checks.id("target", target);
         }
-        mLoop.execute(() -> mNode.announceLeaving(target, mTicker.millis()));
+        mLoop.execute(() -> mGossipNode.announceLeaving(target, mTicker.millis()));
     }
 
     /**
@@ -227,7 +230,7 @@
                         sequence,
                         lifetimeMillis,
                         payload.clone());
-        mLoop.execute(() -> mNode.publishEvidence(evidence, mTicker.millis()));
+        mLoop.execute(() -> mGossipNode.publishEvidence(evidence, mTicker.millis()));
     }
 
     /** Ends; what the sockets take at once is still sent, a leaving notice too. */
@@ -238,38 +241,38 @@
 
     private void tick() {
         long nowMillis = mTicker.millis();
-        mNode.tick(nowMillis);
-        mPlatform.tick(nowMillis);
-        mRole = mPlatform.role();
-        if (!mOpened.isDone()) {
-            decideOpening(nowMillis);
+        mGossipNode.tick(nowMillis);
+        mPlatformReader.tick(nowMillis);
+        mRole = mPlatformReader.role();
+        if (!mReady.isDone()) {
+            decideReadiness(nowMillis);
         }
     }
 
-    private void decideOpening(long nowMillis) {
+    private void decideReadiness(long nowMillis) {
         ReadinessPolicy.Observation seen =
                 new ReadinessPolicy.Observation(
-                        mNode.position(),
-                        Math.max(mNode.highestKnownPosition(), mPlatform.head()),
-                        mPlatform.answered(),
-                        mPlatform.failed(),
-                        mNode.vmRevision() > 0 || mPlatform.vmsListed(),
-                        mNode.respondingDomains(),
-                        mNode.knownDomains(),
+                        mGossipNode.position(),
+                        Math.max(mGossipNode.highestKnownPosition(), mPlatformReader.head()),
+                        mPlatformReader.hasAnswered(),
+                        mPlatformReader.hasFailed(),
+                        mGossipNode.vmRevision() > 0 || mPlatformReader.vmsListed(),
+                        mGossipNode.respondingDomains(),
+                        mGossipNode.knownDomains(),
                         nowMillis - mStartedMillis);
-        mDecision = mOpening.decide(seen);
-        if (mDecision == ReadinessPolicy.Decision.READY) {
-            LOGGER.infof("%s opens at log position %d", vm().id(), mNode.position());
-            mOpened.complete(null);
+        mReadinessDecision = mReadinessPolicy.decide(seen);
+        if (mReadinessDecision == ReadinessPolicy.Decision.READY) {
+            LOGGER.infof("%s opens at log position %d", vm().id(), mGossipNode.position());
+            mReady.complete(null);
         }
     }
 
-    private static PeerMessage message(HlcTimestamp reading) {
+    private static PeerMessage clockReadingMessage(HlcTimestamp reading) {
         return new PeerMessage.ClockReading(reading.millis(), reading.logical());
     }
 
     /** The loop as the platform's reader sees it. */
-    private final class Loop implements PlatformReader.LoopExecutor {
+    private final class PlatformLoopExecutor implements PlatformReader.LoopExecutor {
         @Override
         public void execute(Runnable task) {
             mLoop.execute(task);
@@ -282,7 +285,7 @@
     }
 
     /** The transport as the state machine sees it. */
-    private final class Port implements PeerTransport<H> {
+    private final class LoopTransport implements PeerTransport<H> {
         @Override
         public void dial(long link, Address address) {
             mLoop.dial(link, address);
@@ -291,7 +294,9 @@
         @Override
         public void send(long link, PeerMessage message) {
             if (message.isNews()) {
-                mListener.clock().ifPresent(reading -> mLoop.send(link, message(reading)));
+                mListener
+                        .clockReading()
+                        .ifPresent(reading -> mLoop.send(link, clockReadingMessage(reading)));
             }
             mLoop.send(link, message);
         }
@@ -308,7 +313,9 @@
                             () -> {
                                 List<byte[]> chunks = mFold.encode(history);
                                 mLoop.execute(
-                                        () -> mNode.onSnapshotEncoded(chunks, mTicker.millis()));
+                                        () ->
+                                                mGossipNode.onSnapshotEncoded(
+                                                        chunks, mTicker.millis()));
                             });
         }
 
@@ -318,7 +325,7 @@
                     .execute(
                             () -> {
                                 H snapshot = decodeOrNull(chunks);
-                                mLoop.execute(() -> mNode.onSnapshotDecoded(snapshot));
+                                mLoop.execute(() -> mGossipNode.onSnapshotDecoded(snapshot));
                             });
         }
 
@@ -333,32 +340,32 @@
     }
 
     /** The state machine as the transport sees it. */
-    private final class LoopEvents implements PeerLoop.Handler {
-        private final Map<Long, String> mRemotes = new HashMap<>();
+    private final class PeerLoopHandler implements PeerLoop.Handler {
+        private final Map<Long, String> mRemoteVmIds = new HashMap<>();
 
         @Override
         public void onAccepted(long link) {
-            mNode.onAccepted(link, mTicker.millis());
+            mGossipNode.onAccepted(link, mTicker.millis());
         }
 
         @Override
         public void onConnected(long link) {
-            mNode.onConnected(link);
+            mGossipNode.onConnected(link);
         }
 
         @Override
         public void onMessage(long link, PeerMessage message) {
             if (message instanceof PeerMessage.ClockReading reading) {
-                mListener.onClock(new HlcTimestamp(reading.millis(), reading.logical()));
-            } else if (mFilter == FrameFilter.NONE || passes(link, message)) {
-                mNode.onMessage(link, message, mTicker.millis());
+                mListener.onClockReading(new HlcTimestamp(reading.millis(), reading.logical()));
+            } else if (mFrameFilter == FrameFilter.NONE || passes(link, message)) {
+                mGossipNode.onMessage(link, message, mTicker.millis());
             }
         }
 
         @Override
         public void onClosed(long link) {
-            mRemotes.remove(link);
-            mNode.onClosed(link, mTicker.millis());
+            mRemoteVmIds.remove(link);
+            mGossipNode.onClosed(link, mTicker.millis());
         }
 
         @Override
@@ -367,24 +374,24 @@
         }
 
         @Override
-        public void onBroken(RuntimeException failure) {
+        public void onFatalError(RuntimeException failure) {
             LOGGER.error("the control plane ended", failure);
-            mOpened.completeExceptionally(failure);
-            mListener.onBroken(failure);
+            mReady.completeExceptionally(failure);
+            mListener.onFatalError(failure);
         }
 
         private boolean passes(long link, PeerMessage message) {
             if (message instanceof PeerMessage.Hello hello) {
-                mRemotes.put(link, hello.vm().id());
+                mRemoteVmIds.put(link, hello.vm().id());
             } else if (message instanceof PeerMessage.Welcome welcome) {
-                mRemotes.put(link, welcome.vm().id());
+                mRemoteVmIds.put(link, welcome.vm().id());
             }
-            return mFilter.passes(mRemotes.getOrDefault(link, ""), vm().id());
+            return mFrameFilter.passes(mRemoteVmIds.getOrDefault(link, ""), vm().id());
         }
     }
 
     /** Publishes what the state machine tells. */
-    private final class NodeEvents implements GossipListener<H> {
+    private final class GossipNodeListener implements GossipListener<H> {
         @Override
         public void onHistory(H history) {
             mHistory.set(history);
@@ -393,7 +400,7 @@
 
         @Override
         public void onView(VmView view) {
-            mView.set(view);
+            mVmView.set(view);
             mListener.onView(view);
         }
 
@@ -411,10 +418,10 @@
         public void onEvent(GossipEvent event) {
             mMetrics.counter("control.events." + event.name().toLowerCase(Locale.ROOT)).inc();
             if (event == GossipEvent.WOKE_FROM_PAUSE) {
-                mPlatform.onWoke();
+                mPlatformReader.onResumed();
             }
             if (event.logged()) {
-                LOGGER.warnf("%s at log position %d", event, mNode.position());
+                LOGGER.warnf("%s at log position %d", event, mGossipNode.position());
             }
             mListener.onEvent(event);
         }
--- a/src/main/java/org/apricotgauge/control/ControlSettings.java
+++ b/src/main/java/org/apricotgauge/control/ControlSettings.java
@@ -19,8 +19,8 @@
  * @param incarnation this run of the node, higher than that of the run before
  * @param seeds peers to try while the platform names none; may be empty
  * @param gossip bounds and times of the gossip
- * @param watchMillis how long a watch waits at the platform
- * @param patienceMillis after this time a fresh node opens on the answers it has
+ * @param watchTimeoutMillis how long a watch waits at the platform
+ * @param readinessTimeoutMillis after this time a fresh node opens on the answers it has
  * @param startJitterMillis a fresh node's first calls are spread over this time; about 8,000 where
  *     a whole fleet can start at once, so that the platform is not called by all in one second
  * @param seed seed of random choices
@@ -31,12 +31,12 @@
         long incarnation,
         List<Address> seeds,
         GossipSettings gossip,
-        long watchMillis,
-        long patienceMillis,
+        long watchTimeoutMillis,
+        long readinessTimeoutMillis,
         long startJitterMillis,
         long seed) {
-    private static final long WATCH_MILLIS = 20_000;
-    private static final long PATIENCE_MILLIS = 10_000;
+    private static final long WATCH_TIMEOUT_MILLIS = 20_000;
+    private static final long READINESS_TIMEOUT_MILLIS = 10_000;
     private static final long START_JITTER_MILLIS = 2_000;
     private static final long MAX_MILLIS = 600_000;
 
@@ -47,8 +47,8 @@
         Checks.inRange("incarnation", incarnation, 1, NodeIdentity.MAX_INCARNATION);
         seeds = List.copyOf(Checks.notNull("seeds", seeds));
         Checks.notNull("gossip", gossip);
-        Checks.inRange("watchMillis", watchMillis, 1, MAX_MILLIS);
-        Checks.inRange("patienceMillis", patienceMillis, 0, MAX_MILLIS);
+        Checks.inRange("watchMillis", watchTimeoutMillis, 1, MAX_MILLIS);
+        Checks.inRange("patienceMillis", readinessTimeoutMillis, 0, MAX_MILLIS);
         Checks.inRange("startJitterMillis", startJitterMillis, 0, MAX_MILLIS);
     }
 
@@ -61,8 +61,8 @@
                 nowMillis,
                 List.of(),
                 GossipSettings.DEFAULT,
-                WATCH_MILLIS,
-                PATIENCE_MILLIS,
+                WATCH_TIMEOUT_MILLIS,
+                READINESS_TIMEOUT_MILLIS,
                 START_JITTER_MILLIS,
                 nowMillis ^ vm.id().hashCode());
     }
@@ -75,8 +75,8 @@
                 incarnation,
                 newSeeds,
                 gossip,
-                watchMillis,
-                patienceMillis,
+                watchTimeoutMillis,
+                readinessTimeoutMillis,
                 startJitterMillis,
                 seed);
     }
@@ -84,7 +84,15 @@
     /** Returns these settings with another spread of the first calls. */
     public ControlSettings withStartJitterMillis(long millis) {
         return new ControlSettings(
-                site, vm, incarnation, seeds, gossip, watchMillis, patienceMillis, millis, seed);
+                site,
+                vm,
+                incarnation,
+                seeds,
+                gossip,
+                watchTimeoutMillis,
+                readinessTimeoutMillis,
+                millis,
+                seed);
     }
 
     ControlSettings withPeerPort(int port) {
@@ -103,8 +111,8 @@
                 incarnation,
                 seeds,
                 gossip,
-                watchMillis,
-                patienceMillis,
+                watchTimeoutMillis,
+                readinessTimeoutMillis,
                 startJitterMillis,
                 seed);
     }
--- a/src/main/java/org/apricotgauge/control/PlatformReader.java
+++ b/src/main/java/org/apricotgauge/control/PlatformReader.java
@@ -27,16 +27,16 @@
  * @param <H> a folded history
  */
 final class PlatformReader<H> {
-    private static final int LOG_LIMIT = 500;
-    private static final int VM_LIMIT = 500;
-    private static final long MIN_GAP_MILLIS = 100;
+    private static final int LOG_PAGE_SIZE = 500;
+    private static final int VM_PAGE_SIZE = 500;
+    private static final long MIN_CALL_INTERVAL_MILLIS = 100;
     private static final long BACKOFF_BASE_MILLIS = 500;
     private static final long BACKOFF_CAP_MILLIS = 30_000;
-    private static final int LOST_AFTER_FAILURES = 3;
-    private static final long LOST_REFRESH_MILLIS = 30_000;
+    private static final int UNREACHABLE_AFTER_FAILURES = 3;
+    private static final long UNREACHABLE_REFRESH_MILLIS = 30_000;
     private static final long STABLE_MILLIS = 2_000;
-    private static final long SNAPSHOT_GAP = 1_000;
-    private static final long ELECTION_MILLIS = 1_000;
+    private static final long SNAPSHOT_LAG_THRESHOLD = 1_000;
+    private static final long ELECTION_INTERVAL_MILLIS = 1_000;
 
     /** A snapshot as the platform holds it; without chunks if it is of no use here. */
     private record SnapshotParts(SnapshotHeader header, List<byte[]> chunks) {}
@@ -48,19 +48,19 @@
     private final LoopExecutor mLoop;
     private final Counter mCalls;
     private final Counter mFailures;
-    private final CallStream mLog;
-    private final CallStream mVms;
-    private final CallStream mHead;
+    private final CallThrottle mLogCalls;
+    private final CallThrottle mVmCalls;
+    private final CallThrottle mHeadCalls;
     private WatcherElection.Role mRole = WatcherElection.Role.PASSIVE;
     private long mNextElectionMillis;
-    private long mNextLostMillis;
+    private long mNextUnreachableNoticeMillis;
     private long mPlatformHead = -1;
     private long mPeerlessSinceMillis;
     private long mElectedSinceMillis;
-    private boolean mLost;
-    private long mWakes;
-    private boolean mHeadWanted = true;
-    private boolean mVmsWanted = true;
+    private boolean mPlatformUnreachable;
+    private long mResumeCount;
+    private boolean mHeadNeeded = true;
+    private boolean mVmsNeeded = true;
     private boolean mFailed;
     private boolean mSnapshotTried;
 
@@ -86,23 +86,23 @@
         mCalls = metrics.counter("platform.calls");
         mFailures = metrics.counter("platform.failures");
         long firstMillis = loop.nowMillis() + Math.floorMod(settings.seed(), jitterBound());
-        mLog = new CallStream(settings.seed(), firstMillis);
-        mVms = new CallStream(settings.seed() + 1, firstMillis);
-        mHead = new CallStream(settings.seed() + 2, firstMillis);
+        mLogCalls = new CallThrottle(settings.seed(), firstMillis);
+        mVmCalls = new CallThrottle(settings.seed() + 1, firstMillis);
+        mHeadCalls = new CallThrottle(settings.seed() + 2, firstMillis);
         mPeerlessSinceMillis = loop.nowMillis();
         mElectedSinceMillis = loop.nowMillis();
     }
 
-    boolean answered() {
+    boolean hasAnswered() {
         return mPlatformHead >= 0;
     }
 
-    boolean failed() {
+    boolean hasFailed() {
         return mFailed;
     }
 
     boolean vmsListed() {
-        return !mVmsWanted;
+        return !mVmsNeeded;
     }
 
     long head() {
@@ -114,14 +114,14 @@
     }
 
     /** The process woke from a pause: one call tells whether the platform has gone on. */
-    void onWoke() {
-        mWakes++;
-        mHeadWanted = true;
+    void onResumed() {
+        mResumeCount++;
+        mHeadNeeded = true;
     }
 
     void tick(long nowMillis) {
         if (nowMillis >= mNextElectionMillis) {
-            mNextElectionMillis = nowMillis + ELECTION_MILLIS;
+            mNextElectionMillis = nowMillis + ELECTION_INTERVAL_MILLIS;
             elect(nowMillis);
         }
         if (mNode.establishedLinks() > 0) {
@@ -130,8 +130,8 @@
         readHead(nowMillis);
         readVms(nowMillis);
         readLog(nowMillis);
-        if (mLost && nowMillis >= mNextLostMillis) {
-            mNextLostMillis = nowMillis + LOST_REFRESH_MILLIS;
+        if (mPlatformUnreachable && nowMillis >= mNextUnreachableNoticeMillis) {
+            mNextUnreachableNoticeMillis = nowMillis + UNREACHABLE_REFRESH_MILLIS;
             mNode.announcePlatformState(true, nowMillis);
         }
     }
@@ -149,40 +149,43 @@
     }
 
     private void readHead(long nowMillis) {
-        if (mHeadWanted && mHead.due(nowMillis)) {
+        if (mHeadNeeded && mHeadCalls.tryStart(nowMillis)) {
             long from = mNode.position() + 1;
-            long wakes = mWakes;
-            call(
-                    mHead,
+            long wakes = mResumeCount;
+            startCall(
+                    mHeadCalls,
                     () -> mClient.readLog(from, 0, 0),
-                    (page, now) -> onHead(page, wakes == mWakes));
+                    (page, now) -> onHead(page, wakes == mResumeCount));
         }
     }
 
     private void readVms(long nowMillis) {
-        boolean watching = watching(nowMillis);
-        if ((!mVmsWanted && !watching) || !mVms.due(nowMillis)) {
+        boolean watching = isWatching(nowMillis);
+        if ((!mVmsNeeded && !watching) || !mVmCalls.tryStart(nowMillis)) {
             return;
         }
         long since = mNode.vmRevision();
-        long waitMillis = mVmsWanted ? 0 : mSettings.watchMillis();
-        call(
-                mVms,
-                () -> mClient.readVms(since, VM_LIMIT, waitMillis),
+        long waitMillis = mVmsNeeded ? 0 : mSettings.watchTimeoutMillis();
+        startCall(
+                mVmCalls,
+                () -> mClient.readVms(since, VM_PAGE_SIZE, waitMillis),
                 (page, now) -> onVms(since, page, now));
     }
 
     private void readLog(long nowMillis) {
-        if (!watching(nowMillis) || !mLog.due(nowMillis)) {
+        if (!isWatching(nowMillis) || !mLogCalls.tryStart(nowMillis)) {
             return;
         }
         long from = mNode.position() + 1;
-        if (mPlatformHead - from > SNAPSHOT_GAP && !mSnapshotTried) {
+        if (mPlatformHead - from > SNAPSHOT_LAG_THRESHOLD && !mSnapshotTried) {
             mSnapshotTried = true;
-            call(mLog, this::readSnapshot, this::onSnapshot);
+            startCall(mLogCalls, this::readSnapshot, this::onSnapshot);
             return;
         }
-        call(mLog, () -> mClient.readLog(from, LOG_LIMIT, mSettings.watchMillis()), this::onLog);
+        startCall(
+                mLogCalls,
+                () -> mClient.readLog(from, LOG_PAGE_SIZE, mSettings.watchTimeoutMillis()),
+                this::onLog);
     }
 
     /**
@@ -192,17 +195,17 @@
      * <p>A node that starts knows only itself and elects itself. Were that acted on at once, the
      * start of a whole fleet would put two waiting calls for each node on the platform.
      */
-    private boolean watching(long nowMillis) {
+    private boolean isWatching(long nowMillis) {
         boolean elected =
                 mRole != WatcherElection.Role.PASSIVE
                         && nowMillis - mElectedSinceMillis > STABLE_MILLIS;
         boolean peerless = nowMillis - mPeerlessSinceMillis > STABLE_MILLIS;
-        return !mHeadWanted && (elected || peerless);
+        return !mHeadNeeded && (elected || peerless);
     }
 
     private boolean onHead(LogPage page, boolean askedSinceWaking) {
         mPlatformHead = Math.max(mPlatformHead, page.head());
-        mHeadWanted = !askedSinceWaking;
+        mHeadNeeded = !askedSinceWaking;
         boolean fresh = mNode.onPublished(page);
         if (fresh && askedSinceWaking && page.head() <= mNode.position()) {
             mNode.onPlatformConfirmed();
@@ -211,7 +214,7 @@
     }
 
     private boolean onVms(long since, VmPage page, long nowMillis) {
-        mVmsWanted = false;
+        mVmsNeeded = false;
         return mNode.onPublishedVms(since, page, nowMillis);
     }
 
@@ -267,16 +270,17 @@
     }
 
     /** What becomes of an answer: whether it was as new as what we have. */
-    private interface OnAnswer<T> {
-        boolean take(T answer, long nowMillis);
+    private interface AnswerHandler<T> {
+        boolean handle(T answer, long nowMillis);
     }
 
-    private <T> void call(
-            CallStream stream, Supplier<CompletableFuture<T>> call, OnAnswer<T> onAnswer) {
+    private <T> void startCall(
+            CallThrottle stream, Supplier<CompletableFuture<T>> call, AnswerHandler<T> onAnswer) {
         mCalls.inc();
         stream.mInFlight = true;
         BiConsumer<T, Throwable> settle =
-                (answer, failure) -> mLoop.execute(() -> settle(stream, answer, failure, onAnswer));
+                (answer, failure) ->
+                        mLoop.execute(() -> onCallCompleted(stream, answer, failure, onAnswer));
         try {
             call.get().whenComplete(settle);
         } catch (RuntimeException e) {
@@ -284,34 +288,37 @@
         }
     }
 
-    private <T> void settle(CallStream stream, T answer, Throwable failure, OnAnswer<T> onAnswer) {
+    private <T> void onCallCompleted(
+            CallThrottle stream, T answer, Throwable failure, AnswerHandler<T> onAnswer) {
         long nowMillis = mLoop.nowMillis();
         stream.mInFlight = false;
         if (failure != null) {
             mFailures.inc();
             mFailed = true;
-            stream.mNextMillis = nowMillis + stream.mBackoff.onFailure();
-            noteLoss(stream, nowMillis);
+            stream.mNextCallMillis = nowMillis + stream.mBackoff.onFailure();
+            detectUnreachablePlatform(stream, nowMillis);
             return;
         }
-        boolean fresh = onAnswer.take(answer, nowMillis);
+        boolean fresh = onAnswer.handle(answer, nowMillis);
         if (fresh) {
             stream.mBackoff.onSuccess();
-            stream.mNextMillis = Math.max(nowMillis, stream.mNextMillis);
+            stream.mNextCallMillis = Math.max(nowMillis, stream.mNextCallMillis);
         } else {
-            stream.mNextMillis = nowMillis + stream.mBackoff.onFailure();
+            stream.mNextCallMillis = nowMillis + stream.mBackoff.onFailure();
         }
-        if (mLost) {
-            mLost = false;
+        if (mPlatformUnreachable) {
+            mPlatformUnreachable = false;
             mNode.announcePlatformState(false, nowMillis);
         }
     }
 
-    private void noteLoss(CallStream stream, long nowMillis) {
+    private void detectUnreachablePlatform(CallThrottle stream, long nowMillis) {
         boolean candidate = mRole != WatcherElection.Role.PASSIVE;
-        if (candidate && !mLost && stream.mBackoff.failures() >= LOST_AFTER_FAILURES) {
-            mLost = true;
-            mNextLostMillis = nowMillis;
+        if (candidate
+                && !mPlatformUnreachable
+                && stream.mBackoff.failures() >= UNREACHABLE_AFTER_FAILURES) {
+            mPlatformUnreachable = true;
+            mNextUnreachableNoticeMillis = nowMillis;
         }
     }
 
@@ -320,22 +327,22 @@
     }
 
     /** Calls of one kind: one at a time, spaced, backing off. */
-    private static final class CallStream {
+    private static final class CallThrottle {
         private final Backoff mBackoff;
         private boolean mInFlight;
-        private long mNextMillis;
+        private long mNextCallMillis;
 
-        CallStream(long seed, long firstMillis) {
+        CallThrottle(long seed, long firstMillis) {
             mBackoff = new Backoff(BACKOFF_BASE_MILLIS, BACKOFF_CAP_MILLIS, seed);
-            mNextMillis = firstMillis;
+            mNextCallMillis = firstMillis;
         }
 
         /** Returns whether a call may go out now, and if so counts the least gap from now. */
-        boolean due(long nowMillis) {
-            if (mInFlight || nowMillis < mNextMillis) {
+        boolean tryStart(long nowMillis) {
+            if (mInFlight || nowMillis < mNextCallMillis) {
                 return false;
             }
-            mNextMillis = nowMillis + MIN_GAP_MILLIS;
+            mNextCallMillis = nowMillis + MIN_CALL_INTERVAL_MILLIS;
             return true;
         }
     }
--- a/src/main/java/org/apricotgauge/http/HangUpEndPoint.java
+++ b/src/main/java/org/apricotgauge/http/DisconnectDetectingEndPoint.java
@@ -29,19 +29,19 @@
  * kept for the connection, an end of the stream tells the watcher. With the buffer full it stops
  * reading, and a hang-up behind that much pipelined data is seen when the answer is written.
  */
-public final class HangUpEndPoint extends SocketChannelEndPoint {
+public final class DisconnectDetectingEndPoint extends SocketChannelEndPoint {
     /** Room for the heads of a few pipelined requests; taken only by callers that pipeline. */
     static final int READ_AHEAD_BYTES = 16_384;
 
     private final Executor mExecutor;
     private final Object mLock = new Object();
-    private ByteBuffer mAhead;
-    private boolean mEnded;
+    private ByteBuffer mReadAhead;
+    private boolean mEndOfStream;
     private boolean mRegistered;
-    private Callback mReader;
-    private Runnable mWatcher;
+    private Callback mPendingRead;
+    private Runnable mOnDisconnect;
 
-    HangUpEndPoint(
+    DisconnectDetectingEndPoint(
             SocketChannel channel,
             ManagedSelector selector,
             SelectionKey key,
@@ -53,20 +53,20 @@
 
     /**
      * Calls the watcher once should the caller of the request hang up; a request on another kind of
-     * connection is not watched. The watch ends with {@link #release}.
+     * connection is not watched. The watch ends with {@link #unwatch}.
      */
     public static void watch(Request request, Runnable watcher) {
         Checks.notNull("watcher", watcher);
         if (request.getConnectionMetaData().getConnection().getEndPoint()
-                instanceof HangUpEndPoint endPoint) {
+                instanceof DisconnectDetectingEndPoint endPoint) {
             endPoint.watch(watcher);
         }
     }
 
     /** Ends the watch of the request's connection, before its answer ends. */
-    public static void release(Request request) {
+    public static void unwatch(Request request) {
         if (request.getConnectionMetaData().getConnection().getEndPoint()
-                instanceof HangUpEndPoint endPoint) {
+                instanceof DisconnectDetectingEndPoint endPoint) {
             endPoint.watch(null);
         }
     }
@@ -74,16 +74,16 @@
     private void watch(Runnable watcher) {
         boolean ended;
         synchronized (mLock) {
-            mWatcher = watcher;
-            ended = mEnded;
+            mOnDisconnect = watcher;
+            ended = mEndOfStream;
         }
         if (watcher == null) {
             return;
         }
         if (ended) {
-            hungUp();
+            notifyDisconnected();
         } else {
-            register();
+            registerForRead();
         }
     }
 
@@ -99,19 +99,19 @@
         Checks.notNull("callback", callback);
         boolean ready;
         synchronized (mLock) {
-            if (mReader != null) {
+            if (mPendingRead != null) {
                 return false;
             }
-            ready = mEnded || hasAhead();
+            ready = mEndOfStream || hasReadAhead();
             if (!ready) {
-                mReader = callback;
+                mPendingRead = callback;
             }
         }
         if (ready) {
             // Not on this stack: the connection calls from within its own reading.
             mExecutor.execute(callback::succeeded);
         } else {
-            register();
+            registerForRead();
         }
         return true;
     }
@@ -119,90 +119,90 @@
     @Override
     public boolean isFillInterested() {
         synchronized (mLock) {
-            return mReader != null;
+            return mPendingRead != null;
         }
     }
 
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
         synchronized (mLock) {
-            if (hasAhead()) {
-                return take(buffer);
+            if (hasReadAhead()) {
+                return readFromBuffer(buffer);
             }
-            if (mEnded) {
+            if (mEndOfStream) {
                 return -1;
             }
         }
         return super.fill(buffer);
     }
 
-    private boolean hasAhead() {
-        return mAhead != null && mAhead.hasRemaining();
+    private boolean hasReadAhead() {
+        return mReadAhead != null && mReadAhead.hasRemaining();
     }
 
     // Jetty's buffers for filling are in flush mode: their content ends at the limit.
-    private int take(ByteBuffer buffer) {
+    private int readFromBuffer(ByteBuffer buffer) {
         int position = BufferUtil.flipToFill(buffer);
-        int count = Math.min(buffer.remaining(), mAhead.remaining());
-        buffer.put(buffer.position(), mAhead, mAhead.position(), count);
+        int count = Math.min(buffer.remaining(), mReadAhead.remaining());
+        buffer.put(buffer.position(), mReadAhead, mReadAhead.position(), count);
         buffer.position(buffer.position() + count);
-        mAhead.position(mAhead.position() + count);
+        mReadAhead.position(mReadAhead.position() + count);
         BufferUtil.flipToFlush(buffer, position);
-        if (!mAhead.hasRemaining()) {
-            mAhead = null;
+        if (!mReadAhead.hasRemaining()) {
+            mReadAhead = null;
         }
         return count;
     }
 
-    private void register() {
+    private void registerForRead() {
         synchronized (mLock) {
-            if (mRegistered || (mReader == null && mWatcher == null)) {
+            if (mRegistered || (mPendingRead == null && mOnDisconnect == null)) {
                 return;
             }
             mRegistered = true;
         }
-        super.fillInterested(new Readable());
+        super.fillInterested(new ReadCallback());
     }
 
     private void readAhead() {
         boolean ended;
         boolean goOn;
         synchronized (mLock) {
-            if (mWatcher == null) {
+            if (mOnDisconnect == null) {
                 return;
             }
-            if (mAhead == null) {
-                mAhead = ByteBuffer.allocate(READ_AHEAD_BYTES).limit(0);
+            if (mReadAhead == null) {
+                mReadAhead = ByteBuffer.allocate(READ_AHEAD_BYTES).limit(0);
             }
-            int count = fillAhead();
+            int count = fillReadAhead();
             ended = count < 0;
-            mEnded |= ended;
-            goOn = !ended && mAhead.limit() < mAhead.capacity();
-            if (!mAhead.hasRemaining()) {
-                mAhead = null;
+            mEndOfStream |= ended;
+            goOn = !ended && mReadAhead.limit() < mReadAhead.capacity();
+            if (!mReadAhead.hasRemaining()) {
+                mReadAhead = null;
             }
         }
         if (ended) {
-            hungUp();
+            notifyDisconnected();
         } else if (goOn) {
-            register();
+            registerForRead();
         }
     }
 
-    private int fillAhead() {
+    private int fillReadAhead() {
         try {
-            return super.fill(mAhead);
+            return super.fill(mReadAhead);
         } catch (IOException e) {
             // A reset is a hang-up, too; the connection meets it itself when it next reads.
             return -1;
         }
     }
 
-    private void hungUp() {
+    private void notifyDisconnected() {
         Runnable watcher;
         synchronized (mLock) {
-            watcher = mWatcher;
-            mWatcher = null;
+            watcher = mOnDisconnect;
+            mOnDisconnect = null;
         }
         if (watcher != null) {
             watcher.run();
@@ -210,10 +210,10 @@
     }
 
     /** Hears from the selector, for the connection if it waits to read, else for the watcher. */
-    private final class Readable implements Callback {
+    private final class ReadCallback implements Callback {
         @Override
         public void succeeded() {
-            Callback reader = takeReader();
+            Callback reader = takePendingRead();
             if (reader != null) {
                 reader.succeeded();
             } else {
@@ -223,36 +223,38 @@
 
         @Override
         public void failed(Throwable failure) {
-            Callback reader = takeReader();
+            Callback reader = takePendingRead();
             if (reader != null) {
                 reader.failed(failure);
             } else if (failure instanceof TimeoutException) {
                 // The idle timeout measures bytes; a caller that waits for its answer sends none.
-                register();
+                registerForRead();
             } else {
-                hungUp();
+                notifyDisconnected();
             }
         }
 
         @Override
         public InvocationType getInvocationType() {
             synchronized (mLock) {
-                return mReader == null ? InvocationType.NON_BLOCKING : mReader.getInvocationType();
+                return mPendingRead == null
+                        ? InvocationType.NON_BLOCKING
+                        : mPendingRead.getInvocationType();
             }
         }
 
-        private Callback takeReader() {
+        private Callback takePendingRead() {
             synchronized (mLock) {
                 mRegistered = false;
-                Callback reader = mReader;
-                mReader = null;
+                Callback reader = mPendingRead;
+                mPendingRead = null;
                 return reader;
             }
         }
     }
 
     /** Returns what a watcher hands on as the cause of a cancelled request. */
-    public static EofException hangUp() {
+    public static EofException newDisconnectException() {
         return new EofException("the caller hung up");
     }
 }
--- a/src/main/java/org/apricotgauge/http/RenewableConnectionPool.java
+++ b/src/main/java/org/apricotgauge/http/EvictableConnectionPool.java
@@ -13,10 +13,10 @@
  * track of all that were open then. Trying one after the other would cost a request the silence
  * bound for each.
  */
-final class RenewableConnectionPool extends DuplexConnectionPool {
+final class EvictableConnectionPool extends DuplexConnectionPool {
     private final Set<Connection> mConnections = ConcurrentHashMap.newKeySet();
 
-    RenewableConnectionPool(Destination destination, int maxConnections) {
+    EvictableConnectionPool(Destination destination, int maxConnections) {
         super(destination, maxConnections);
     }
 
@@ -41,7 +41,7 @@
      * <p>A connection that is taken into use in this very moment breaks under its exchange, which
      * then ends as any broken exchange does.
      */
-    void dropIdle() {
+    void evictIdle() {
         for (Connection connection : mConnections) {
             if (!isActive(connection)) {
                 remove(connection);
--- a/src/main/java/org/apricotgauge/http/WatchedSource.java
+++ b/src/main/java/org/apricotgauge/http/FailureTrackingSource.java
@@ -12,12 +12,12 @@
  * // on failure: body.hasFailed() tells a broken upstream from a receiver that went away
  * }</pre>
  */
-public final class WatchedSource implements Content.Source {
+public final class FailureTrackingSource implements Content.Source {
     private final Content.Source mSource;
     private volatile boolean mFailed;
 
     /** Watches the given source. */
-    public WatchedSource(Content.Source source) {
+    public FailureTrackingSource(Content.Source source) {
         mSource = Checks.notNull("source", source);
     }
 
--- a/src/main/java/org/apricotgauge/http/Fingerprints.java
+++ b/src/main/java/org/apricotgauge/http/Fingerprints.java
@@ -16,7 +16,7 @@
      *
      * @param member id of the member on whose behalf it comes
      */
-    public static long headOf(Request request, String member) {
+    public static long headHash(Request request, String member) {
         return Fingerprint.hashHead(
                 request.getMethod(),
                 hostOf(request),
--- a/src/main/java/org/apricotgauge/http/FleetDialect.java
+++ b/src/main/java/org/apricotgauge/http/FleetDialect.java
@@ -44,17 +44,17 @@
     }
 
     @Override
-    public void markOrigin(HttpFields.Mutable headers) {}
+    public void addOriginHeaders(HttpFields.Mutable headers) {}
 
     @Override
-    public void towardsTarget(
+    public void addTargetHeaders(
             HttpFields.Mutable headers, String targetId, long leftMillis, Optional<String> member) {
         headers.put(HeaderNames.TIMEOUT_MILLIS, leftMillis);
         member.ifPresent(id -> headers.put(HeaderNames.MEMBER, id));
     }
 
     @Override
-    public Optional<String> namedMember(HttpFields headers) {
+    public Optional<String> declaredMember(HttpFields headers) {
         String member = headers.get(HeaderNames.MEMBER);
         return member == null
                 ? Optional.empty()
--- a/src/main/java/org/apricotgauge/http/ForwardedHeaders.java
+++ b/src/main/java/org/apricotgauge/http/ForwardedHeaders.java
@@ -55,25 +55,25 @@
     }
 
     private static void copy(HttpFields from, HttpFields.Mutable to, Set<HttpHeader> alsoDrop) {
-        Set<String> named = namedByConnection(from);
+        Set<String> named = connectionOptions(from);
         for (HttpField field : from) {
             HttpHeader header = field.getHeader();
             if (header != null && (PER_CONNECTION.contains(header) || alsoDrop.contains(header))) {
                 continue;
             }
-            if (isOwn(field) || named.contains(field.getLowerCaseName())) {
+            if (isFleetHeader(field) || named.contains(field.getLowerCaseName())) {
                 continue;
             }
             to.add(field);
         }
     }
 
-    private static boolean isOwn(HttpField field) {
+    private static boolean isFleetHeader(HttpField field) {
         String prefix = HeaderNames.PREFIX;
         return field.getName().regionMatches(true, 0, prefix, 0, prefix.length());
     }
 
-    private static Set<String> namedByConnection(HttpFields from) {
+    private static Set<String> connectionOptions(HttpFields from) {
         if (!from.contains(HttpHeader.CONNECTION)) {
             return Set.of();
         }
--- a/src/main/java/org/apricotgauge/http/HashedBody.java
+++ b/src/main/java/org/apricotgauge/http/HashingBody.java
@@ -6,12 +6,12 @@
 import org.eclipse.jetty.io.Content;
 
 /** A body that is hashed as it is read, and passed on as it is. */
-public final class HashedBody implements Request.Content {
+public final class HashingBody implements Request.Content {
     private final Request.Content mBody;
     private final BodyHash mHash;
 
     /** Wraps a body whose bytes go into the hash. */
-    public HashedBody(Request.Content body, BodyHash hash) {
+    public HashingBody(Request.Content body, BodyHash hash) {
         mBody = Checks.notNull("body", body);
         mHash = Checks.notNull("hash", hash);
     }
--- a/src/main/java/org/apricotgauge/http/HeaderNames.java
+++ b/src/main/java/org/apricotgauge/http/HeaderNames.java
@@ -44,37 +44,38 @@
     public static final String LOAD_PERMILLE = "Apricotgauge-Load-Permille";
 
     /**
-     * Hops: {@link #REPEAT_OWN} or {@link #REPEAT_PAID} if a target was sent the request before,
-     * which did not end it; {@link #REPEAT_PARENT} if the request is a call of such a one.
+     * Hops: {@link #RETRY_OF_REQUEST} or {@link #RETRY_PREPAID} if a target was sent the request
+     * before, which did not end it; {@link #RETRY_OF_PARENT} if the request is a call of such a
+     * one.
      */
-    public static final String REPEAT = "Apricotgauge-Repeat";
+    public static final String RETRY = "Apricotgauge-Repeat";
 
-    /** Value of {@link #REPEAT}: the request itself is sent again. */
-    public static final String REPEAT_OWN = "1";
+    /** Value of {@link #RETRY}: the request itself is sent again. */
+    public static final String RETRY_OF_REQUEST = "1";
 
-    /** Value of {@link #REPEAT}: it is sent again, and the guard that it was sent to has paid. */
-    public static final String REPEAT_PAID = "paid";
+    /** Value of {@link #RETRY}: it is sent again, and the guard that it was sent to has paid. */
+    public static final String RETRY_PREPAID = "paid";
 
     /** Hops: the guard of a target that failed the request has paid for its next run. */
-    public static final String RETRY_PAID = "Apricotgauge-Retry-Paid";
+    public static final String NEXT_RETRY_PREPAID = "Apricotgauge-Retry-Paid";
 
-    /** Value of {@link #REPEAT}: the request that this call is made for is sent again. */
-    public static final String REPEAT_PARENT = "parent";
+    /** Value of {@link #RETRY}: the request that this call is made for is sent again. */
+    public static final String RETRY_OF_PARENT = "parent";
 
     /** Hops: how much of a risk the request may run; see {@code HealthGate.Caution}. */
-    public static final String CAUTION = "Apricotgauge-Caution";
+    public static final String RISK_TOLERANCE = "Apricotgauge-Caution";
 
     /** Hops: whether the request may wait for a slot; see {@code Patience}. */
-    public static final String PATIENCE = "Apricotgauge-Patience";
+    public static final String QUEUEING_POLICY = "Apricotgauge-Patience";
 
     /** Hops: milliseconds left in which an answer is of full use, 0 if none are. */
-    public static final String USEFUL_MILLIS = "Apricotgauge-Useful-Millis";
+    public static final String SOFT_DEADLINE_MILLIS = "Apricotgauge-Useful-Millis";
 
     /** Hops: the request is a call that a target of the sender's VM makes for another request. */
-    public static final String CALL = "Apricotgauge-Call";
+    public static final String NESTED_CALL = "Apricotgauge-Call";
 
     /** Hops: the target failed the request since a call that it made for it had failed. */
-    public static final String CALL_LOST = "Apricotgauge-Call-Lost";
+    public static final String NESTED_CALL_FAILED = "Apricotgauge-Call-Lost";
 
     /** Hops: how likely the target is to be sick; see {@code HealthOutlook.Told}. */
     public static final String HEALTH = "Apricotgauge-Health";
--- a/src/main/java/org/apricotgauge/http/HttpClientFactory.java
+++ b/src/main/java/org/apricotgauge/http/HttpClientFactory.java
@@ -65,9 +65,9 @@
 
     /** Returns a new client, not yet started. */
     public HttpClient create(String name, Limits limits) {
-        ClientConnector connector = new ResetVisibleConnector();
+        ClientConnector connector = new ResetDetectingConnector();
         connector.setSelectors(SELECTORS);
-        connector.setSslContextFactory(new NoTls());
+        connector.setSslContextFactory(new NoOpSslContextFactory());
         connector.setExecutor(mExecutor);
         connector.setScheduler(mScheduler);
         HttpClientTransportOverHTTP transport = new HttpClientTransportOverHTTP(connector);
@@ -77,7 +77,7 @@
         transport.setInvocationType(InvocationType.NON_BLOCKING);
         transport.setConnectionPoolFactory(
                 destination ->
-                        new RenewableConnectionPool(
+                        new EvictableConnectionPool(
                                 destination, limits.connectionsPerDestination()));
         HttpClient client = new HttpClient(transport);
         client.setName(name);
@@ -97,22 +97,23 @@
     }
 
     /** A connector whose connections tell a reset from an end. */
-    private static final class ResetVisibleConnector extends ClientConnector {
+    private static final class ResetDetectingConnector extends ClientConnector {
         @Override
         protected EndPoint newEndPoint(
                 SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
-            return new ResetVisibleEndPoint((SocketChannel) channel, selector, key, getScheduler());
+            return new ResetDetectingEndPoint(
+                    (SocketChannel) channel, selector, key, getScheduler());
         }
     }
 
     /** Closes the unused connections of a client to one address. */
-    public static void dropIdleConnections(HttpClient client, Address address) {
+    public static void evictIdleConnections(HttpClient client, Address address) {
         for (Destination destination : client.getDestinations()) {
             Origin.Address at = destination.getOrigin().getAddress();
             boolean matches = at.getHost().equals(address.host()) && at.getPort() == address.port();
             if (matches
-                    && destination.getConnectionPool() instanceof RenewableConnectionPool pool) {
-                pool.dropIdle();
+                    && destination.getConnectionPool() instanceof EvictableConnectionPool pool) {
+                pool.evictIdle();
             }
         }
     }
@@ -122,6 +123,6 @@
         client.start();
         client.getContentDecoderFactories().clear();
         client.getProtocolHandlers().clear();
-        client.getProtocolHandlers().put(new InterimResponses());
+        client.getProtocolHandlers().put(new InterimResponseHandler());
     }
 }
--- a/src/main/java/org/apricotgauge/http/HttpServerFactory.java
+++ b/src/main/java/org/apricotgauge/http/HttpServerFactory.java
@@ -29,7 +29,7 @@
     public static final int MAX_HEADER_BYTES = 16_384;
 
     private static final long IDLE_TIMEOUT_MILLIS = 60_000;
-    private static final int NO_HEADER_CACHE = 0;
+    private static final int HEADER_CACHE_BYTES = 0;
     private static final int ACCEPTORS = 1;
     private static final int SELECTORS = 1;
     private static final int ACCEPT_QUEUE = 1_024;
@@ -60,24 +60,24 @@
         // Jetty's cache of a connection's fields takes 95 KB each (measured), which at 4,000
         // callers'
         // connections is more than the whole slot.
-        configuration.setHeaderCacheSize(NO_HEADER_CACHE);
+        configuration.setHeaderCacheSize(HEADER_CACHE_BYTES);
         configuration.setRequestHeaderSize(MAX_HEADER_BYTES);
         configuration.setResponseHeaderSize(MAX_HEADER_BYTES);
         ServerConnector connector =
-                new WatchingConnector(server, new HttpConnectionFactory(configuration));
+                new DisconnectDetectingConnector(server, new HttpConnectionFactory(configuration));
         connector.setHost(host);
         connector.setPort(port);
         connector.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         connector.setAcceptQueueSize(ACCEPT_QUEUE);
         server.addConnector(connector);
-        server.setErrorHandler(new RefusalHandler(onRefused));
+        server.setErrorHandler(new PlainTextErrorHandler(onRefused));
         server.setHandler(handler);
         return server;
     }
 
     /** A connector whose connections notice that their caller hangs up. */
-    private static final class WatchingConnector extends ServerConnector {
-        private WatchingConnector(Server server, HttpConnectionFactory http) {
+    private static final class DisconnectDetectingConnector extends ServerConnector {
+        private DisconnectDetectingConnector(Server server, HttpConnectionFactory http) {
             super(server, ACCEPTORS, SELECTORS, http);
         }
 
@@ -85,7 +85,8 @@
         protected SocketChannelEndPoint newEndPoint(
                 SocketChannel channel, ManagedSelector selector, SelectionKey key) {
             SocketChannelEndPoint endPoint =
-                    new HangUpEndPoint(channel, selector, key, getScheduler(), getExecutor());
+                    new DisconnectDetectingEndPoint(
+                            channel, selector, key, getScheduler(), getExecutor());
             endPoint.setIdleTimeout(getIdleTimeout());
             return endPoint;
         }
--- a/src/main/java/org/apricotgauge/http/InterimResponses.java
+++ b/src/main/java/org/apricotgauge/http/InterimResponseHandler.java
@@ -13,7 +13,7 @@
  * can tell a dead path (no 102) from a slow target (102, then nothing yet). Other interim answers
  * are dropped, which RFC 9110 section 15.2 allows a proxy that asked for none.
  */
-final class InterimResponses extends ProcessingProtocolHandler {
+final class InterimResponseHandler extends ProcessingProtocolHandler {
 
     @Override
     public boolean accept(Request request, Response response) {
@@ -25,7 +25,7 @@
     protected void onProcessing(Request request, HttpFields fields) {
         if (request.getAttributes().get(UpstreamExchange.ATTRIBUTE)
                 instanceof UpstreamExchange exchange) {
-            exchange.acknowledged(fields);
+            exchange.onAcknowledged(fields);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/http/NoTls.java
+++ b/src/main/java/org/apricotgauge/http/NoOpSslContextFactory.java
@@ -9,7 +9,7 @@
  * ciphers: a quarter of a node's start by the times at which classes are loaded. The fleet's hops,
  * targets and platform speak plain HTTP.
  */
-final class NoTls extends SslContextFactory.Client {
+final class NoOpSslContextFactory extends SslContextFactory.Client {
     @Override
     protected void doStart() {
         // Nothing to load, see above.
--- a/src/main/java/org/apricotgauge/http/Outcomes.java
+++ b/src/main/java/org/apricotgauge/http/OutcomeCodec.java
@@ -23,10 +23,10 @@
  * section 10.2.3); unknown is 504. The header {@link HeaderNames#OUTCOME} tells the two from a
  * target's own 503 or 504, since it is removed from every answer of a target.
  */
-public final class Outcomes {
+public final class OutcomeCodec {
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
-    private Outcomes() {}
+    private OutcomeCodec() {}
 
     /** Writes the outcome as the final answer, in the fleet's own dialect. */
     public static void write(Response response, Callback callback, Outcome.NotRun outcome) {
@@ -52,7 +52,7 @@
                         ? HttpStatus.TOO_MANY_REQUESTS_429
                         : HttpStatus.SERVICE_UNAVAILABLE_503,
                 HeaderNames.OUTCOME_NOT_RUN,
-                wordOf(outcome.reason()));
+                wireName(outcome.reason()));
     }
 
     /** Writes the outcome as the final answer. */
@@ -62,7 +62,7 @@
                 callback,
                 HttpStatus.GATEWAY_TIMEOUT_504,
                 HeaderNames.OUTCOME_UNKNOWN,
-                wordOf(outcome.reason()));
+                wireName(outcome.reason()));
     }
 
     private static void write(
@@ -82,25 +82,26 @@
         if (!HeaderNames.OUTCOME_NOT_RUN.equals(outcome)) {
             return Optional.of(
                     new Outcome.Unknown(
-                            parse(UnknownReason.class, reason, UnknownReason.FORGOTTEN)));
+                            parseReason(UnknownReason.class, reason, UnknownReason.FORGOTTEN)));
         }
         long retryAfterMillis = Math.max(0, headers.getLongField(HeaderNames.RETRY_AFTER_MILLIS));
         // A newer guard may give a reason that this release does not know; "not run" still holds.
         return Optional.of(
                 new Outcome.NotRun(
-                        parse(NotRunReason.class, reason, NotRunReason.FENCED), retryAfterMillis));
+                        parseReason(NotRunReason.class, reason, NotRunReason.FENCED),
+                        retryAfterMillis));
     }
 
-    private static String wordOf(Enum<?> reason) {
+    private static String wireName(Enum<?> reason) {
         return reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static <E extends Enum<E>> E parse(Class<E> type, String word, E otherwise) {
+    private static <E extends Enum<E>> E parseReason(Class<E> type, String word, E otherwise) {
         if (word == null) {
             return otherwise;
         }
         for (E constant : type.getEnumConstants()) {
-            if (wordOf(constant).equals(word)) {
+            if (wireName(constant).equals(word)) {
                 return constant;
             }
         }
--- a/src/main/java/org/apricotgauge/http/RefusalHandler.java
+++ b/src/main/java/org/apricotgauge/http/PlainTextErrorHandler.java
@@ -17,19 +17,19 @@
  * <p>The connection is closed: after a request that could not be read, nobody knows where the next
  * one begins, and guessing is what request smuggling lives on.
  */
-public final class RefusalHandler implements Request.Handler {
-    private final Runnable mOnRefused;
+public final class PlainTextErrorHandler implements Request.Handler {
+    private final Runnable mOnBadRequest;
 
     /** Creates a handler that calls {@code onRefused} for each request refused with 4xx. */
-    public RefusalHandler(Runnable onRefused) {
-        mOnRefused = Checks.notNull("onRefused", onRefused);
+    public PlainTextErrorHandler(Runnable onRefused) {
+        mOnBadRequest = Checks.notNull("onRefused", onRefused);
     }
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
         int status = response.getStatus();
         if (HttpStatus.isClientError(status)) {
-            mOnRefused.run();
+            mOnBadRequest.run();
         }
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
         String line = "the request was refused with status " + status + '\n';
--- a/src/main/java/org/apricotgauge/http/ReplayableBody.java
+++ b/src/main/java/org/apricotgauge/http/ReplayableBody.java
@@ -28,14 +28,14 @@
  */
 public final class ReplayableBody {
     private final Content.Source mSource;
-    private final int mLimitBytes;
+    private final int mMaxBufferedBytes;
     private final Object mLock = new Object();
-    private final List<byte[]> mKept = new ArrayList<>();
-    private int mKeptBytes;
+    private final List<byte[]> mBuffered = new ArrayList<>();
+    private int mBufferedBytes;
     private boolean mOverflowed;
     private boolean mSourceEnded;
     private boolean mDemandPending;
-    private View mCurrent;
+    private AttemptContent mCurrentAttempt;
 
     /**
      * Creates a body.
@@ -45,7 +45,7 @@
      */
     public ReplayableBody(Content.Source source, int limitBytes) {
         mSource = Checks.notNull("source", source);
-        mLimitBytes = (int) Checks.inRange("limitBytes", limitBytes, 0, Integer.MAX_VALUE);
+        mMaxBufferedBytes = (int) Checks.inRange("limitBytes", limitBytes, 0, Integer.MAX_VALUE);
     }
 
     /** Returns whether the body can still be sent from its start. */
@@ -63,10 +63,11 @@
     public Request.Content open() {
         synchronized (mLock) {
             if (mOverflowed) {
-                throw new IllegalStateException("body of over " + mLimitBytes + " bytes reopened");
+                throw new IllegalStateException(
+                        "body of over " + mMaxBufferedBytes + " bytes reopened");
             }
-            mCurrent = new View();
-            return mCurrent;
+            mCurrentAttempt = new AttemptContent();
+            return mCurrentAttempt;
         }
     }
 
@@ -92,19 +93,19 @@
                 done.completeExceptionally(chunk.getFailure());
                 return;
             }
-            keepAhead(chunk, hash);
+            bufferReadAhead(chunk, hash);
         }
         done.complete(null);
     }
 
-    private void keepAhead(Content.Chunk chunk, BodyHash hash) {
+    private void bufferReadAhead(Content.Chunk chunk, BodyHash hash) {
         byte[] copy = new byte[chunk.remaining()];
         chunk.getByteBuffer().slice().get(copy);
         hash.update(ByteBuffer.wrap(copy));
         synchronized (mLock) {
             if (copy.length > 0) {
-                mKept.add(copy);
-                mKeptBytes += copy.length;
+                mBuffered.add(copy);
+                mBufferedBytes += copy.length;
             }
             mSourceEnded |= chunk.isLast();
         }
@@ -114,14 +115,14 @@
         chunk.release();
     }
 
-    private Content.Chunk readFor(View view) {
+    private Content.Chunk readFor(AttemptContent view) {
         synchronized (mLock) {
-            if (view != mCurrent) {
+            if (view != mCurrentAttempt) {
                 return Content.Chunk.from(new IOException("attempt was abandoned"), true);
             }
-            if (view.mNextKept < mKept.size()) {
-                byte[] kept = mKept.get(view.mNextKept++);
-                boolean last = mSourceEnded && view.mNextKept == mKept.size();
+            if (view.mNextBuffered < mBuffered.size()) {
+                byte[] kept = mBuffered.get(view.mNextBuffered++);
+                boolean last = mSourceEnded && view.mNextBuffered == mBuffered.size();
                 view.mEnded = last;
                 return Content.Chunk.from(ByteBuffer.wrap(kept), last);
             }
@@ -136,7 +137,7 @@
         }
     }
 
-    private Content.Chunk readSource(View view) {
+    private Content.Chunk readSource(AttemptContent view) {
         Content.Chunk chunk = mSource.read();
         if (chunk == null || Content.Chunk.isFailure(chunk)) {
             return chunk;
@@ -145,32 +146,35 @@
             mSourceEnded = true;
             view.mEnded = true;
         }
-        keep(view, chunk);
+        buffer(view, chunk);
         return chunk;
     }
 
-    private void keep(View view, Content.Chunk chunk) {
+    private void buffer(AttemptContent view, Content.Chunk chunk) {
         if (mOverflowed || !chunk.hasRemaining()) {
             return;
         }
-        if (mKeptBytes + chunk.remaining() > mLimitBytes) {
+        if (mBufferedBytes + chunk.remaining() > mMaxBufferedBytes) {
             mOverflowed = true;
-            mKept.clear();
-            view.mNextKept = 0;
+            mBuffered.clear();
+            view.mNextBuffered = 0;
             return;
         }
         byte[] copy = new byte[chunk.remaining()];
         chunk.getByteBuffer().slice().get(copy);
-        mKept.add(copy);
-        mKeptBytes += copy.length;
-        view.mNextKept = mKept.size();
+        mBuffered.add(copy);
+        mBufferedBytes += copy.length;
+        view.mNextBuffered = mBuffered.size();
     }
 
-    private void demandFor(View view, Runnable onAvailable) {
+    private void demandFor(AttemptContent view, Runnable onAvailable) {
         boolean runNow;
         synchronized (mLock) {
             view.mOnAvailable = onAvailable;
-            runNow = view != mCurrent || view.mNextKept < mKept.size() || mSourceEnded;
+            runNow =
+                    view != mCurrentAttempt
+                            || view.mNextBuffered < mBuffered.size()
+                            || mSourceEnded;
             if (runNow) {
                 view.mOnAvailable = null;
             } else if (mDemandPending) {
@@ -182,17 +186,17 @@
         if (runNow) {
             onAvailable.run();
         } else {
-            mSource.demand(this::sourceAvailable);
+            mSource.demand(this::onSourceAvailable);
         }
     }
 
-    private void sourceAvailable() {
+    private void onSourceAvailable() {
         Runnable onAvailable = null;
         synchronized (mLock) {
             mDemandPending = false;
-            if (mCurrent != null) {
-                onAvailable = mCurrent.mOnAvailable;
-                mCurrent.mOnAvailable = null;
+            if (mCurrentAttempt != null) {
+                onAvailable = mCurrentAttempt.mOnAvailable;
+                mCurrentAttempt.mOnAvailable = null;
             }
         }
         if (onAvailable != null) {
@@ -201,8 +205,8 @@
     }
 
     /** The body as one attempt sees it. */
-    private final class View implements Request.Content {
-        private int mNextKept;
+    private final class AttemptContent implements Request.Content {
+        private int mNextBuffered;
         private boolean mEnded;
         private Runnable mOnAvailable;
         private Throwable mFailure;
--- a/src/main/java/org/apricotgauge/http/ResetVisibleEndPoint.java
+++ b/src/main/java/org/apricotgauge/http/ResetDetectingEndPoint.java
@@ -17,9 +17,9 @@
  * RFC 9112 section 8 calls an answer incomplete if its connection closes in error; here the error
  * reaches the HTTP client, which fails the exchange.
  */
-final class ResetVisibleEndPoint extends SocketChannelEndPoint {
+final class ResetDetectingEndPoint extends SocketChannelEndPoint {
 
-    ResetVisibleEndPoint(
+    ResetDetectingEndPoint(
             SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler timers) {
         super(channel, selector, key, timers);
     }
--- a/src/main/java/org/apricotgauge/http/AnswerStream.java
+++ b/src/main/java/org/apricotgauge/http/ResponseForwarder.java
@@ -23,9 +23,9 @@
  * AnswerStream.copyBody(upstreamResponse, body, response, callback);
  * }</pre>
  */
-public final class AnswerStream {
+public final class ResponseForwarder {
 
-    private AnswerStream() {}
+    private ResponseForwarder() {}
 
     /** Copies status and end-to-end headers. */
     public static void copyHead(org.eclipse.jetty.client.Response from, Response to) {
@@ -44,7 +44,7 @@
             Content.Source body,
             Response to,
             Callback callback) {
-        keepEndVisible(from, to);
+        chunkIfLengthUnknown(from, to);
         if (from.getHeaders().contains(HttpHeader.TRAILER)) {
             to.setTrailersSupplier(() -> trailersOf(from));
         }
@@ -54,7 +54,7 @@
     // To a caller that asks for its connection to be closed, a server may end a body of unknown
     // length by closing. Half an answer would then look like a whole one, so such a body always
     // gets chunks, whose last one only a whole answer has.
-    private static void keepEndVisible(org.eclipse.jetty.client.Response from, Response to) {
+    private static void chunkIfLengthUnknown(org.eclipse.jetty.client.Response from, Response to) {
         Request request = to.getRequest();
         boolean knowsChunks =
                 request.getConnectionMetaData().getHttpVersion() == HttpVersion.HTTP_1_1;
@@ -72,7 +72,7 @@
      * <p>A caller that speaks HTTP/1.0 knows no chunks; a plain close would look like the end of
      * the body. A reset (RFC 9293 section 3.10.7) is the only sign that is left.
      */
-    public static void breakOff(Request request, Callback callback, Throwable cause) {
+    public static void abort(Request request, Callback callback, Throwable cause) {
         boolean needsReset =
                 request.getConnectionMetaData().getHttpVersion() == HttpVersion.HTTP_1_0;
         EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
--- a/src/main/java/org/apricotgauge/http/SiteDialect.java
+++ b/src/main/java/org/apricotgauge/http/SiteDialect.java
@@ -25,7 +25,7 @@
         /** Another target has the address now; it has not run the request. */
         OTHER_TARGET,
         /** An answer to another request, or one without the target's mark; never to be passed. */
-        FOREIGN
+        MISMATCHED
     }
 
     /**
@@ -47,7 +47,7 @@
     }
 
     /** Writes, over whatever the caller sent, on which service's VM the request began. */
-    void markOrigin(HttpFields.Mutable headers);
+    void addOriginHeaders(HttpFields.Mutable headers);
 
     /**
      * Writes what a target is told beside the request.
@@ -56,7 +56,7 @@
      * @param leftMillis time left until the answer is of no more use, in milliseconds
      * @param member id of the member on whose behalf it comes; nothing if it names none
      */
-    void towardsTarget(
+    void addTargetHeaders(
             HttpFields.Mutable headers, String targetId, long leftMillis, Optional<String> member);
 
     /**
@@ -65,7 +65,7 @@
      *
      * @throws IllegalArgumentException naming the header that is at fault
      */
-    default Optional<String> namedMember(HttpFields headers) {
+    default Optional<String> declaredMember(HttpFields headers) {
         return Optional.empty();
     }
 
--- a/src/main/java/org/apricotgauge/http/TargetNotice.java
+++ b/src/main/java/org/apricotgauge/http/TargetNotice.java
@@ -13,7 +13,7 @@
  */
 public record TargetNotice(
         boolean leaving, Optional<StartLimit> limit, Optional<String> unreadable) {
-    private static final String YES = "1";
+    private static final String LEAVING_VALUE = "1";
 
     /**
      * Reads what two headers of an answer say.
@@ -22,7 +22,7 @@
      * @param limits values of the one that names limits
      */
     public static TargetNotice of(String leaving, List<String> limits) {
-        boolean leaves = YES.equals(leaving);
+        boolean leaves = LEAVING_VALUE.equals(leaving);
         if (limits.isEmpty()) {
             return new TargetNotice(leaves, Optional.empty(), Optional.empty());
         }
--- a/src/main/java/org/apricotgauge/http/UpstreamExchange.java
+++ b/src/main/java/org/apricotgauge/http/UpstreamExchange.java
@@ -26,7 +26,7 @@
     private final Request mRequest;
     private final Listener mListener;
     private final AtomicReference<Phase> mPhase = new AtomicReference<>(Phase.WAITING);
-    private volatile boolean mBegun;
+    private volatile boolean mRequestBegun;
 
     private enum Phase {
         WAITING,
@@ -86,9 +86,9 @@
     public static UpstreamExchange send(Request request, Listener listener) {
         UpstreamExchange exchange = new UpstreamExchange(request, listener);
         request.attribute(ATTRIBUTE, exchange);
-        request.onRequestBegin(exchange::begin);
-        request.onResponseContentSource(exchange::answered);
-        request.send(exchange::completed);
+        request.onRequestBegin(exchange::onRequestBegin);
+        request.onResponseContentSource(exchange::onResponse);
+        request.send(exchange::onComplete);
         return exchange;
     }
 
@@ -97,21 +97,21 @@
         mRequest.abort(cause);
     }
 
-    private void begin(Request request) {
+    private void onRequestBegin(Request request) {
         if (mListener.onBegin()) {
-            mBegun = true;
+            mRequestBegun = true;
         } else {
             request.abort(new CancellationException("given up before the first byte"));
         }
     }
 
-    void acknowledged(HttpFields fields) {
+    void onAcknowledged(HttpFields fields) {
         if (mPhase.get() == Phase.WAITING) {
             mListener.onAcknowledged(fields);
         }
     }
 
-    private void answered(Response response, Content.Source body) {
+    private void onResponse(Response response, Content.Source body) {
         if (mPhase.compareAndSet(Phase.WAITING, Phase.ANSWERED)) {
             mListener.onAnswer(response, body);
         } else {
@@ -119,11 +119,13 @@
         }
     }
 
-    private void completed(Result result) {
+    private void onComplete(Result result) {
         if (result.isSucceeded() || !mPhase.compareAndSet(Phase.WAITING, Phase.FAILED)) {
             return;
         }
         mListener.onFailure(
-                new Failure(result.getFailure(), mBegun ? Progress.MAYBE_SENT : Progress.NOT_SENT));
+                new Failure(
+                        result.getFailure(),
+                        mRequestBegun ? Progress.MAYBE_SENT : Progress.NOT_SENT));
     }
 }
--- a/src/main/java/org/apricotgauge/node/GossipControl.java
+++ b/src/main/java/org/apricotgauge/node/GossipControl.java
@@ -51,7 +51,7 @@
 
     @Override
     public CompletableFuture<Void> opened() {
-        return mPlane.opened();
+        return mPlane.ready();
     }
 
     @Override
@@ -152,17 +152,17 @@
         }
 
         @Override
-        public Optional<HlcTimestamp> clock() {
+        public Optional<HlcTimestamp> clockReading() {
             return Optional.of(mParts.events().now());
         }
 
         @Override
-        public void onClock(HlcTimestamp reading) {
+        public void onClockReading(HlcTimestamp reading) {
             mParts.events().observe(reading);
         }
 
         @Override
-        public void onBroken(RuntimeException failure) {
+        public void onFatalError(RuntimeException failure) {
             mParts.listener().onBroken(failure);
         }
     }
--- a/src/main/java/org/apricotgauge/operator/AdminServer.java
+++ b/src/main/java/org/apricotgauge/operator/AdminServer.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.Set;
-import org.apricotgauge.http.RefusalHandler;
+import org.apricotgauge.http.PlainTextErrorHandler;
 import org.apricotgauge.model.Checks;
 import org.apricotgauge.time.Ticker;
 import org.eclipse.jetty.server.HttpConfiguration;
@@ -65,7 +65,7 @@
         mServer.addConnector(mConnector);
         mServer.addBean(new NetworkConnectionLimit(MAX_CONNECTIONS, mServer));
         mServer.setStopTimeout(STOP_MILLIS);
-        mServer.setErrorHandler(new RefusalHandler(() -> {}));
+        mServer.setErrorHandler(new PlainTextErrorHandler(() -> {}));
         mServer.setHandler(new AdminHandler(sources, readyPaths, Checks.notNull("ticker", ticker)));
     }
 
--- a/src/main/java/org/apricotgauge/peer/PeerConnection.java
+++ b/src/main/java/org/apricotgauge/peer/PeerConnection.java
@@ -10,26 +10,26 @@
 
 /** One TCP connection with its frames on the way in and out; used by the loop's thread alone. */
 final class PeerConnection {
-    private static final int FIRST_BUFFER_BYTES = 4 << 10;
+    private static final int INITIAL_BUFFER_BYTES = 4 << 10;
     private static final int MAX_QUEUED_BYTES = 4 << 20;
     private static final int MAX_QUEUED_FRAMES = 1_024;
 
     /** Takes whole frames. */
-    interface Sink {
+    interface FrameHandler {
         void onFrame(byte[] bytes, int offset, int length) throws IOException;
 
         /** Returns whether frames are still wanted. */
-        boolean open();
+        boolean isOpen();
     }
 
     private final long mLink;
     private final SocketChannel mChannel;
     private final SelectionKey mKey;
     private final TransportCounters mCounters;
-    private final ArrayDeque<ByteBuffer> mOut = new ArrayDeque<>();
-    private byte[] mIn = new byte[FIRST_BUFFER_BYTES];
-    private int mInBytes;
-    private int mOutBytes;
+    private final ArrayDeque<ByteBuffer> mOutputQueue = new ArrayDeque<>();
+    private byte[] mInputBuffer = new byte[INITIAL_BUFFER_BYTES];
+    private int mInputBytes;
+    private int mQueuedBytes;
 
     PeerConnection(long link, SocketChannel channel, SelectionKey key, TransportCounters counters) {
         mLink = link;
@@ -54,11 +54,12 @@
     boolean enqueue(byte[] frame) {
         // A peer that stops reading must cost a bounded amount of memory here; its link is closed
         // and it catches up by anti-entropy.
-        if (mOut.size() >= MAX_QUEUED_FRAMES || mOutBytes + frame.length > MAX_QUEUED_BYTES) {
+        if (mOutputQueue.size() >= MAX_QUEUED_FRAMES
+                || mQueuedBytes + frame.length > MAX_QUEUED_BYTES) {
             return false;
         }
-        mOut.add(ByteBuffer.wrap(frame));
-        mOutBytes += frame.length;
+        mOutputQueue.add(ByteBuffer.wrap(frame));
+        mQueuedBytes += frame.length;
         mCounters.framesOut().inc();
         return true;
     }
@@ -68,23 +69,23 @@
         if (!mChannel.isConnected()) {
             return;
         }
-        while (!mOut.isEmpty()) {
-            long written = mChannel.write(mOut.toArray(ByteBuffer[]::new));
-            mOutBytes -= (int) written;
+        while (!mOutputQueue.isEmpty()) {
+            long written = mChannel.write(mOutputQueue.toArray(ByteBuffer[]::new));
+            mQueuedBytes -= (int) written;
             mCounters.bytesOut().inc(written);
-            while (!mOut.isEmpty() && !mOut.peek().hasRemaining()) {
-                mOut.poll();
+            while (!mOutputQueue.isEmpty() && !mOutputQueue.peek().hasRemaining()) {
+                mOutputQueue.poll();
             }
             if (written == 0) {
                 break;
             }
         }
-        int interest = mOut.isEmpty() ? 0 : SelectionKey.OP_WRITE;
+        int interest = mOutputQueue.isEmpty() ? 0 : SelectionKey.OP_WRITE;
         mKey.interestOps(SelectionKey.OP_READ | interest);
     }
 
     /** Reads what is there; returns false at the end of the stream. */
-    boolean read(ByteBuffer scratch, Sink sink) throws IOException {
+    boolean read(ByteBuffer scratch, FrameHandler sink) throws IOException {
         scratch.clear();
         int count = mChannel.read(scratch);
         if (count < 0) {
@@ -92,53 +93,53 @@
         }
         mCounters.bytesIn().inc(count);
         scratch.flip();
-        makeRoom(mInBytes + count);
-        scratch.get(mIn, mInBytes, count);
-        mInBytes += count;
-        takeFrames(sink);
+        ensureCapacity(mInputBytes + count);
+        scratch.get(mInputBuffer, mInputBytes, count);
+        mInputBytes += count;
+        readFrames(sink);
         return true;
     }
 
-    private void takeFrames(Sink sink) throws IOException {
+    private void readFrames(FrameHandler sink) throws IOException {
         int start = 0;
-        while (sink.open() && mInBytes - start >= MessageCodec.LENGTH_BYTES) {
-            int length = ByteBuffer.wrap(mIn, start, MessageCodec.LENGTH_BYTES).getInt();
+        while (sink.isOpen() && mInputBytes - start >= MessageCodec.LENGTH_BYTES) {
+            int length = ByteBuffer.wrap(mInputBuffer, start, MessageCodec.LENGTH_BYTES).getInt();
             if (length < 1 || length > MessageCodec.MAX_FRAME_BYTES) {
                 throw new IOException("frame length " + length);
             }
             int end = start + MessageCodec.LENGTH_BYTES + length;
-            if (end > mInBytes) {
-                makeRoom(end - start);
+            if (end > mInputBytes) {
+                ensureCapacity(end - start);
                 break;
             }
             mCounters.framesIn().inc();
-            sink.onFrame(mIn, start + MessageCodec.LENGTH_BYTES, length);
+            sink.onFrame(mInputBuffer, start + MessageCodec.LENGTH_BYTES, length);
             start = end;
         }
-        mInBytes -= start;
-        System.arraycopy(mIn, start, mIn, 0, mInBytes);
-        if (mInBytes == 0 && mIn.length > 16 * FIRST_BUFFER_BYTES) {
-            mIn = new byte[FIRST_BUFFER_BYTES];
+        mInputBytes -= start;
+        System.arraycopy(mInputBuffer, start, mInputBuffer, 0, mInputBytes);
+        if (mInputBytes == 0 && mInputBuffer.length > 16 * INITIAL_BUFFER_BYTES) {
+            mInputBuffer = new byte[INITIAL_BUFFER_BYTES];
         }
     }
 
-    private void makeRoom(int bytes) {
-        if (bytes > mIn.length) {
-            mIn = Arrays.copyOf(mIn, Math.max(bytes, 2 * mIn.length));
+    private void ensureCapacity(int bytes) {
+        if (bytes > mInputBuffer.length) {
+            mInputBuffer = Arrays.copyOf(mInputBuffer, Math.max(bytes, 2 * mInputBuffer.length));
         }
     }
 
     /** Encodes a message once for all links that it goes to in a row. */
-    static final class EncodedOnce {
-        private PeerMessage mMessage;
-        private byte[] mFrame;
+    static final class LastFrameCache {
+        private PeerMessage mLastMessage;
+        private byte[] mLastFrame;
 
         byte[] frameOf(PeerMessage message) {
-            if (message != mMessage) {
-                mFrame = MessageCodec.encode(message);
-                mMessage = message;
+            if (message != mLastMessage) {
+                mLastFrame = MessageCodec.encode(message);
+                mLastMessage = message;
             }
-            return mFrame;
+            return mLastFrame;
         }
     }
 }
--- a/src/main/java/org/apricotgauge/peer/PeerLoop.java
+++ b/src/main/java/org/apricotgauge/peer/PeerLoop.java
@@ -34,8 +34,8 @@
  */
 public final class PeerLoop implements AutoCloseable {
     private static final long TICK_MILLIS = 100;
-    private static final int SCRATCH_BYTES = 64 << 10;
-    private static final int MAX_ACCEPTED = 128;
+    private static final int READ_BUFFER_BYTES = 64 << 10;
+    private static final int MAX_CONNECTIONS = 128;
     private static final long JOIN_MILLIS = 5_000;
 
     /** What the loop tells, on its thread. */
@@ -56,7 +56,7 @@
         void onTick();
 
         /** The handler threw; the loop has ended. */
-        void onBroken(RuntimeException failure);
+        void onFatalError(RuntimeException failure);
     }
 
     private final Selector mSelector;
@@ -66,12 +66,13 @@
     private final Thread mThread;
     private final Queue<Runnable> mTasks = new ConcurrentLinkedQueue<>();
     private final Map<Long, PeerConnection> mConnections = new HashMap<>();
-    private final Set<PeerConnection> mDirty = new HashSet<>();
-    private final ByteBuffer mScratch = ByteBuffer.allocateDirect(SCRATCH_BYTES);
-    private final PeerConnection.EncodedOnce mEncoded = new PeerConnection.EncodedOnce();
+    private final Set<PeerConnection> mUnflushed = new HashSet<>();
+    private final ByteBuffer mReadBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
+    private final PeerConnection.LastFrameCache mLastFrameCache =
+            new PeerConnection.LastFrameCache();
     private volatile boolean mClosing;
     private Handler mHandler;
-    private long mNextAccepted = -1;
+    private long mNextAcceptedLink = -1;
     private long mNextTickMillis;
 
     private PeerLoop(String name, ServerSocketChannel server, Ticker ticker, MetricRegistry metrics)
@@ -81,7 +82,7 @@
         mServer.configureBlocking(false);
         mServer.register(mSelector, SelectionKey.OP_ACCEPT);
         mTicker = ticker;
-        mCounters = TransportCounters.in(metrics);
+        mCounters = TransportCounters.register(metrics);
         mThread = new Thread(this::run, name);
         mThread.setDaemon(true);
     }
@@ -98,7 +99,7 @@
         ServerSocketChannel server = ServerSocketChannel.open();
         try {
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            server.bind(new InetSocketAddress(host, port), MAX_ACCEPTED);
+            server.bind(new InetSocketAddress(host, port), MAX_CONNECTIONS);
             return new PeerLoop(name, server, ticker, metrics);
         } catch (IOException e) {
             server.close();
@@ -134,10 +135,10 @@
             SocketChannel channel = SocketChannel.open();
             PeerConnection connection = register(link, channel, SelectionKey.OP_CONNECT);
             if (channel.connect(new InetSocketAddress(address.host(), address.port()))) {
-                connected(connection);
+                onConnected(connection);
             }
         } catch (IOException | UnresolvedAddressException e) {
-            execute(() -> drop(link));
+            execute(() -> closeAndNotify(link));
         }
     }
 
@@ -147,11 +148,11 @@
         if (connection == null) {
             return;
         }
-        if (connection.enqueue(mEncoded.frameOf(message))) {
-            mDirty.add(connection);
+        if (connection.enqueue(mLastFrameCache.frameOf(message))) {
+            mUnflushed.add(connection);
         } else {
             mCounters.overflows().inc();
-            execute(() -> drop(link));
+            execute(() -> closeAndNotify(link));
         }
     }
 
@@ -159,7 +160,7 @@
     public void close(long link) {
         PeerConnection connection = mConnections.remove(link);
         if (connection != null) {
-            mDirty.remove(connection);
+            mUnflushed.remove(connection);
             flushQuietly(connection);
             closeQuietly(connection.channel());
         }
@@ -183,12 +184,12 @@
         try {
             mNextTickMillis = mTicker.millis();
             while (!mClosing) {
-                step();
+                runOnce();
             }
         } catch (IOException e) {
-            mHandler.onBroken(new IllegalStateException("the selector failed", e));
+            mHandler.onFatalError(new IllegalStateException("the selector failed", e));
         } catch (RuntimeException e) {
-            mHandler.onBroken(e);
+            mHandler.onFatalError(e);
         } finally {
             mConnections.values().forEach(this::flushQuietly);
             mConnections.values().forEach(c -> closeQuietly(c.channel()));
@@ -197,12 +198,12 @@
         }
     }
 
-    private void step() throws IOException {
+    private void runOnce() throws IOException {
         long waitMillis = mNextTickMillis - mTicker.millis();
         if (waitMillis > 0 && mTasks.isEmpty()) {
-            mSelector.select(this::ready, waitMillis);
+            mSelector.select(this::handleReadyKey, waitMillis);
         } else {
-            mSelector.selectNow(this::ready);
+            mSelector.selectNow(this::handleReadyKey);
         }
         Runnable task = mTasks.poll();
         while (task != null) {
@@ -213,24 +214,24 @@
             mNextTickMillis = mTicker.millis() + TICK_MILLIS;
             mHandler.onTick();
         }
-        flushDirty();
+        flushPending();
     }
 
-    private void flushDirty() {
-        if (mDirty.isEmpty()) {
+    private void flushPending() {
+        if (mUnflushed.isEmpty()) {
             return;
         }
-        for (PeerConnection connection : Set.copyOf(mDirty)) {
+        for (PeerConnection connection : Set.copyOf(mUnflushed)) {
             try {
                 connection.flush();
             } catch (IOException e) {
-                drop(connection.link());
+                closeAndNotify(connection.link());
             }
         }
-        mDirty.clear();
+        mUnflushed.clear();
     }
 
-    private void ready(SelectionKey key) {
+    private void handleReadyKey(SelectionKey key) {
         if (!key.isValid()) {
             return;
         }
@@ -241,7 +242,7 @@
         PeerConnection connection = (PeerConnection) key.attachment();
         try {
             if (key.isConnectable() && connection.channel().finishConnect()) {
-                connected(connection);
+                onConnected(connection);
             }
             if (key.isValid() && key.isWritable()) {
                 connection.flush();
@@ -250,7 +251,7 @@
                 read(connection);
             }
         } catch (IOException e) {
-            drop(connection.link());
+            closeAndNotify(connection.link());
         }
     }
 
@@ -260,11 +261,11 @@
             if (channel == null) {
                 return;
             }
-            if (mConnections.size() >= MAX_ACCEPTED) {
+            if (mConnections.size() >= MAX_CONNECTIONS) {
                 channel.close();
                 return;
             }
-            long link = mNextAccepted--;
+            long link = mNextAcceptedLink--;
             register(link, channel, SelectionKey.OP_READ);
             mHandler.onAccepted(link);
         } catch (IOException e) {
@@ -283,22 +284,22 @@
         return connection;
     }
 
-    private void connected(PeerConnection connection) {
+    private void onConnected(PeerConnection connection) {
         connection.key().interestOps(SelectionKey.OP_READ);
         mHandler.onConnected(connection.link());
     }
 
     private void read(PeerConnection connection) throws IOException {
-        boolean more = connection.read(mScratch, new FrameSink(connection));
+        boolean more = connection.read(mReadBuffer, new MessageDispatcher(connection));
         if (!more) {
-            drop(connection.link());
+            closeAndNotify(connection.link());
         }
     }
 
-    private void drop(long link) {
+    private void closeAndNotify(long link) {
         PeerConnection connection = mConnections.remove(link);
         if (connection != null) {
-            mDirty.remove(connection);
+            mUnflushed.remove(connection);
             closeQuietly(connection.channel());
         }
         mHandler.onClosed(link);
@@ -321,10 +322,10 @@
     }
 
     /** Hands the frames of one connection to the handler. */
-    private final class FrameSink implements PeerConnection.Sink {
+    private final class MessageDispatcher implements PeerConnection.FrameHandler {
         private final PeerConnection mConnection;
 
-        FrameSink(PeerConnection connection) {
+        MessageDispatcher(PeerConnection connection) {
             mConnection = connection;
         }
 
@@ -343,7 +344,7 @@
         }
 
         @Override
-        public boolean open() {
+        public boolean isOpen() {
             return mConnections.containsKey(mConnection.link());
         }
     }
--- a/src/main/java/org/apricotgauge/peer/TransportCounters.java
+++ b/src/main/java/org/apricotgauge/peer/TransportCounters.java
@@ -12,7 +12,7 @@
         Counter badFrames,
         Counter overflows) {
 
-    static TransportCounters in(MetricRegistry metrics) {
+    static TransportCounters register(MetricRegistry metrics) {
         return new TransportCounters(
                 metrics.counter("peer.frames.in"),
                 metrics.counter("peer.frames.out"),
--- a/src/main/java/org/apricotgauge/peer/hop/GuardClient.java
+++ b/src/main/java/org/apricotgauge/peer/hop/GuardClient.java
@@ -43,17 +43,18 @@
     private static final int MAX_CONTROL_BYTES = 256;
 
     /** How long a guard that refused a connection is left alone. */
-    private static final long DOWN_MILLIS = 500;
+    private static final long CONNECT_FAILURE_HOLD_MILLIS = 500;
 
     /** How long a guard that went silent is left alone; a cut seldom heals within a second. */
-    private static final long SILENT_MILLIS = 1_500;
+    private static final long UNRESPONSIVE_HOLD_MILLIS = 1_500;
 
-    private final HttpClient mForwarding;
-    private final HttpClient mFencing;
+    private final HttpClient mForwardingClient;
+    private final HttpClient mFencingClient;
     private final Ticker mTicker;
-    private final ConcurrentMap<Address, GuardClockEstimate> mSightings = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Address, GuardClockEstimate> mClockEstimates =
+            new ConcurrentHashMap<>();
     private final ConcurrentMap<Address, URI> mUris = new ConcurrentHashMap<>();
-    private final ConcurrentMap<Address, Long> mDownUntilMillis = new ConcurrentHashMap<>();
+    private final ConcurrentMap<Address, Long> mUnavailableUntilMillis = new ConcurrentHashMap<>();
 
     /**
      * Creates a client.
@@ -63,14 +64,14 @@
      * @param ticker the entry's clock
      */
     public GuardClient(HttpClient forwarding, HttpClient fencing, Ticker ticker) {
-        mForwarding = Checks.notNull("forwarding", forwarding);
-        mFencing = Checks.notNull("fencing", fencing);
+        mForwardingClient = Checks.notNull("forwarding", forwarding);
+        mFencingClient = Checks.notNull("fencing", fencing);
         mTicker = Checks.notNull("ticker", ticker);
     }
 
     /** Returns a request for a guard, to be filled and sent as an exchange. */
     public Request newRequest(Address guard) {
-        return mForwarding.newRequest(mUris.computeIfAbsent(guard, Hosts::uriOf));
+        return mForwardingClient.newRequest(mUris.computeIfAbsent(guard, Hosts::uriOf));
     }
 
     /**
@@ -79,65 +80,66 @@
      * <p>While its process restarts the targets beside it still serve; entries then go straight to
      * them rather than lose the capacity.
      */
-    public void connectFailed(Address guard) {
-        mDownUntilMillis.put(guard, mTicker.millis() + DOWN_MILLIS);
+    public void onConnectFailed(Address guard) {
+        mUnavailableUntilMillis.put(guard, mTicker.millis() + CONNECT_FAILURE_HOLD_MILLIS);
     }
 
     /** Returns whether a connection to the guard failed just now. */
-    public boolean isDown(Address guard) {
-        Long untilMillis = mDownUntilMillis.get(guard);
+    public boolean isUnavailable(Address guard) {
+        Long untilMillis = mUnavailableUntilMillis.get(guard);
         if (untilMillis == null) {
             return false;
         }
         if (mTicker.millis() < untilMillis) {
             return true;
         }
-        mDownUntilMillis.remove(guard, untilMillis);
+        mUnavailableUntilMillis.remove(guard, untilMillis);
         return false;
     }
 
     /** Takes the stamp that came with an answer of a guard. */
-    public void sighted(Address guard, HttpFields headers) {
-        stampOf(headers).ifPresent(stamp -> merge(guard, stamp));
+    public void recordStamp(Address guard, HttpFields headers) {
+        stampOf(headers).ifPresent(stamp -> mergeStamp(guard, stamp));
     }
 
     /** Returns the last sighting of a guard, asking it if there is none. */
-    public CompletableFuture<GuardClockEstimate> sighting(Address guard, long timeoutMillis) {
-        GuardClockEstimate known = mSightings.get(guard);
+    public CompletableFuture<GuardClockEstimate> clockEstimate(Address guard, long timeoutMillis) {
+        GuardClockEstimate known = mClockEstimates.get(guard);
         if (known != null) {
             return CompletableFuture.completedFuture(known);
         }
-        return ask(guard, GuardHandler.CONTROL_STAMP, null, timeoutMillis)
-                .thenApply(answer -> mSightings.get(guard));
+        return sendControlRequest(guard, GuardHandler.CONTROL_STAMP, null, timeoutMillis)
+                .thenApply(answer -> mClockEstimates.get(guard));
     }
 
     /** Notes that a connection to the guard went silent; the unused ones are not trusted either. */
-    public void wentSilent(Address guard) {
-        HttpClientFactory.dropIdleConnections(mForwarding, guard);
-        mDownUntilMillis.put(guard, mTicker.millis() + SILENT_MILLIS);
+    public void onUnresponsive(Address guard) {
+        HttpClientFactory.evictIdleConnections(mForwardingClient, guard);
+        mUnavailableUntilMillis.put(guard, mTicker.millis() + UNRESPONSIVE_HOLD_MILLIS);
     }
 
     /** Asks the guard, over a new connection, to refuse the attempt should it arrive late. */
     public CompletableFuture<FenceAnswer> fence(
             Address guard, Attempt attempt, long timeoutMillis) {
-        return ask(guard, GuardHandler.CONTROL_FENCE, attempt, timeoutMillis)
-                .thenApply(GuardClient::parseFence);
+        return sendControlRequest(guard, GuardHandler.CONTROL_FENCE, attempt, timeoutMillis)
+                .thenApply(GuardClient::parseFenceAnswer);
     }
 
     /** As {@link #fence}, and cancels the attempt at its target if it has started. */
     public CompletableFuture<FenceAnswer> abandon(
             Address guard, Attempt attempt, long timeoutMillis) {
-        return ask(guard, GuardHandler.CONTROL_ABANDON, attempt, timeoutMillis)
-                .thenApply(GuardClient::parseFence);
+        return sendControlRequest(guard, GuardHandler.CONTROL_ABANDON, attempt, timeoutMillis)
+                .thenApply(GuardClient::parseFenceAnswer);
     }
 
-    private CompletableFuture<String> ask(
+    private CompletableFuture<String> sendControlRequest(
             Address guard, String question, Attempt attempt, long timeoutMillis) {
         CompletableFuture<String> future = new CompletableFuture<>();
         // A spare connection from before may be as silent as the one that is asked about; a fence
         // sent over it would go unanswered, and a booking that did not run be told "unknown".
-        HttpClientFactory.dropIdleConnections(mFencing, guard);
-        mFencing.newRequest(guard.host(), guard.port())
+        HttpClientFactory.evictIdleConnections(mFencingClient, guard);
+        mFencingClient
+                .newRequest(guard.host(), guard.port())
                 .path("/")
                 .timeout(timeoutMillis, TimeUnit.MILLISECONDS)
                 .headers(
@@ -148,11 +150,11 @@
                                 headers.put(Attempt.HEADER, attempt.toString());
                             }
                         })
-                .send(new ControlListener(guard, future));
+                .send(new ControlResponseListener(guard, future));
         return future;
     }
 
-    private static FenceAnswer parseFence(String text) {
+    private static FenceAnswer parseFenceAnswer(String text) {
         String[] words = text.strip().split(" ", 2);
         return new FenceAnswer(
                 FenceAnswer.State.valueOf(words[0]), Integer.parseInt(words[1].strip()));
@@ -162,17 +164,17 @@
         return Optional.ofNullable(headers.get(GuardStamp.HEADER)).flatMap(GuardStamp::parse);
     }
 
-    private void merge(Address guard, GuardStamp stamp) {
+    private void mergeStamp(Address guard, GuardStamp stamp) {
         GuardClockEstimate seen = new GuardClockEstimate(stamp, mTicker.millis());
-        mSightings.merge(guard, seen, GuardClockEstimate::merge);
+        mClockEstimates.merge(guard, seen, GuardClockEstimate::merge);
     }
 
     /** Reads a short answer to a control question. */
-    private final class ControlListener extends BufferingResponseListener {
+    private final class ControlResponseListener extends BufferingResponseListener {
         private final Address mGuard;
         private final CompletableFuture<String> mFuture;
 
-        private ControlListener(Address guard, CompletableFuture<String> future) {
+        private ControlResponseListener(Address guard, CompletableFuture<String> future) {
             super(MAX_CONTROL_BYTES);
             mGuard = guard;
             mFuture = future;
@@ -180,7 +182,7 @@
 
         @Override
         public void onHeaders(Response response) {
-            sighted(mGuard, response.getHeaders());
+            recordStamp(mGuard, response.getHeaders());
             super.onHeaders(response);
         }
 
--- a/src/main/java/org/apricotgauge/platform/kv/KvDialect.java
+++ b/src/main/java/org/apricotgauge/platform/kv/KvDialect.java
@@ -87,12 +87,12 @@
     }
 
     @Override
-    public void markOrigin(HttpFields.Mutable headers) {
+    public void addOriginHeaders(HttpFields.Mutable headers) {
         headers.put(ORIGIN, mService);
     }
 
     @Override
-    public void towardsTarget(
+    public void addTargetHeaders(
             HttpFields.Mutable headers, String targetId, long leftMillis, Optional<String> member) {
         headers.put(TIMEOUT, leftMillis);
         headers.put(TARGET_RUN, TargetRun.nameOf(targetId));
@@ -104,7 +104,7 @@
     public AnswerKind kindOf(HttpFields request, int status, HttpFields answer) {
         String echo = answer.get(REQUEST_ID);
         if (echo != null && !echo.equals(request.get(REQUEST_ID))) {
-            return AnswerKind.FOREIGN;
+            return AnswerKind.MISMATCHED;
         }
         if (status == HttpStatus.MISDIRECTED_REQUEST_421) {
             return AnswerKind.OTHER_TARGET;
@@ -116,7 +116,7 @@
             return AnswerKind.SHED;
         }
         boolean unmarked = echo == null || !answer.contains(TARGET_MARK);
-        return HttpStatus.isSuccess(status) && unmarked ? AnswerKind.FOREIGN : AnswerKind.ANSWER;
+        return HttpStatus.isSuccess(status) && unmarked ? AnswerKind.MISMATCHED : AnswerKind.ANSWER;
     }
 
     @Override
--- a/src/main/java/org/apricotgauge/standin/PredecessorStandin.java
+++ b/src/main/java/org/apricotgauge/standin/PredecessorStandin.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.apricotgauge.http.AnswerStream;
 import org.apricotgauge.http.Bodies;
 import org.apricotgauge.http.HttpClientFactory;
 import org.apricotgauge.http.HttpServerFactory;
+import org.apricotgauge.http.ResponseForwarder;
 import org.apricotgauge.http.UpstreamExchange;
 import org.apricotgauge.model.Address;
 import org.apricotgauge.model.Checks;
@@ -171,8 +171,8 @@
                 forwarded.send(turn + 1, false);
                 return;
             }
-            AnswerStream.copyHead(answer, forwarded.mResponse);
-            AnswerStream.copyBody(answer, body, forwarded.mResponse, forwarded.mCallback);
+            ResponseForwarder.copyHead(answer, forwarded.mResponse);
+            ResponseForwarder.copyBody(answer, body, forwarded.mResponse, forwarded.mCallback);
         }
 
         @Override
--- a/src/main/java/org/apricotgauge/target/GuardHandler.java
+++ b/src/main/java/org/apricotgauge/target/GuardHandler.java
@@ -32,7 +32,7 @@
 import org.apricotgauge.decision.routing.ServiceTable;
 import org.apricotgauge.http.Bodies;
 import org.apricotgauge.http.HeaderNames;
-import org.apricotgauge.http.Outcomes;
+import org.apricotgauge.http.OutcomeCodec;
 import org.apricotgauge.http.SiteDialect;
 import org.apricotgauge.model.Member;
 import org.apricotgauge.model.Priority;
@@ -377,8 +377,8 @@
                             memberId == null ? Member.ANONYMOUS_ID : memberId,
                             Member.DEFAULT_WEIGHT);
         }
-        boolean isCall = request.getHeaders().contains(HeaderNames.CALL);
-        long usefulMillis = request.getHeaders().getLongField(HeaderNames.USEFUL_MILLIS);
+        boolean isCall = request.getHeaders().contains(HeaderNames.NESTED_CALL);
+        long usefulMillis = request.getHeaders().getLongField(HeaderNames.SOFT_DEADLINE_MILLIS);
         return new Ticket(
                 mTicketIds.incrementAndGet(),
                 member,
@@ -408,7 +408,7 @@
 
     // An entry of an older release names none, and is served as before.
     private static HealthGate.RiskTolerance riskToleranceOf(Request request) {
-        String word = request.getHeaders().get(HeaderNames.CAUTION);
+        String word = request.getHeaders().get(HeaderNames.RISK_TOLERANCE);
         for (HealthGate.RiskTolerance caution : HealthGate.RiskTolerance.values()) {
             if (caution.name().toLowerCase(Locale.ROOT).equals(word)) {
                 return caution;
@@ -419,7 +419,7 @@
 
     // An entry of an older release names none, and waits as before.
     private static QueueingPolicy queueingPolicyOf(Request request) {
-        String word = request.getHeaders().get(HeaderNames.PATIENCE);
+        String word = request.getHeaders().get(HeaderNames.QUEUEING_POLICY);
         for (QueueingPolicy patience : QueueingPolicy.values()) {
             if (patience.name().toLowerCase(Locale.ROOT).equals(word)) {
                 return patience;
@@ -441,13 +441,13 @@
     private void reject(Response response, Callback callback, NotRunReason reason) {
         mContext.metrics().notRun().inc();
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
-        Outcomes.write(response, callback, new Outcome.NotRun(reason, 0));
+        OutcomeCodec.write(response, callback, new Outcome.NotRun(reason, 0));
     }
 
     private void reject(AttemptAdmission arrival, Response response, Callback callback) {
         if (!arrival.provesNotRun()) {
             mContext.metrics().unknown().inc();
-            Outcomes.write(response, callback, new Outcome.Unknown(UnknownReason.FORGOTTEN));
+            OutcomeCodec.write(response, callback, new Outcome.Unknown(UnknownReason.FORGOTTEN));
             return;
         }
         NotRunReason reason =
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -14,15 +14,15 @@
 import org.apricotgauge.decision.attempt.UnknownReason;
 import org.apricotgauge.decision.detection.ObservedOutcome;
 import org.apricotgauge.decision.health.HealthGate;
-import org.apricotgauge.http.AnswerStream;
 import org.apricotgauge.http.Bodies;
-import org.apricotgauge.http.HangUpEndPoint;
+import org.apricotgauge.http.DisconnectDetectingEndPoint;
+import org.apricotgauge.http.FailureTrackingSource;
 import org.apricotgauge.http.HeaderNames;
-import org.apricotgauge.http.Outcomes;
+import org.apricotgauge.http.OutcomeCodec;
+import org.apricotgauge.http.ResponseForwarder;
 import org.apricotgauge.http.SiteDialect;
 import org.apricotgauge.http.TargetNotice;
 import org.apricotgauge.http.UpstreamExchange;
-import org.apricotgauge.http.WatchedSource;
 import org.apricotgauge.model.SiteView;
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.io.Content;
@@ -126,7 +126,7 @@
 
     /** Tells the entry that the request is here, and goes to the gate. */
     void start() {
-        HangUpEndPoint.watch(mRequest, this::onEntryDisconnected);
+        DisconnectDetectingEndPoint.watch(mRequest, this::onEntryDisconnected);
         mAcknowledgements.send();
         mAcknowledgements.runAfterPendingWrite(
                 () -> mIdentity.whenIdentified(mContext.quarantine(), this::submit));
@@ -287,13 +287,14 @@
         mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
         Outcome.Unknown outcome =
                 new Outcome.Unknown(held ? UnknownReason.QUARANTINED : UnknownReason.STARTED);
-        mAcknowledgements.runAfterPendingWrite(() -> Outcomes.write(mResponse, mCallback, outcome));
+        mAcknowledgements.runAfterPendingWrite(
+                () -> OutcomeCodec.write(mResponse, mCallback, outcome));
     }
 
     /** Pays for the next run of a request that this target failed, if it may have one. */
     private void prepayRetry(boolean mayRunAgain) {
         if (mayRunAgain && (mRetryPrepaid || mRetryCharge.tryPrepayRetry())) {
-            mResponse.getHeaders().put(HeaderNames.RETRY_PAID, "1");
+            mResponse.getHeaders().put(HeaderNames.NEXT_RETRY_PREPAID, "1");
         }
     }
 
@@ -314,23 +315,23 @@
             endWithoutAnswer(kind, answer, body);
             return;
         }
-        AnswerStream.copyHead(answer, mResponse);
+        ResponseForwarder.copyHead(answer, mResponse);
         prepayRetry(
                 mRiskTolerance == HealthGate.RiskTolerance.MAY_TRY
                         && HttpStatus.isServerError(answer.getStatus()));
         mResponse.getHeaders().put(Attempt.HEADER, mAttempt.toString());
         if (HttpStatus.isServerError(answer.getStatus()) && hasFailedCall()) {
-            mResponse.getHeaders().put(HeaderNames.CALL_LOST, "1");
+            mResponse.getHeaders().put(HeaderNames.NESTED_CALL_FAILED, "1");
         }
         mGate.addHeaders(mResponse.getHeaders());
         mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
-        WatchedSource watched = new WatchedSource(body);
+        FailureTrackingSource watched = new FailureTrackingSource(body);
         Callback whenCopied =
                 Callback.from(
                         () -> onAnswerCompleted(answer.getStatus()),
                         cause -> onAnswerBroken(watched.hasFailed(), cause));
         mAcknowledgements.runAfterPendingWrite(
-                () -> AnswerStream.copyBody(answer, watched, mResponse, whenCopied));
+                () -> ResponseForwarder.copyBody(answer, watched, mResponse, whenCopied));
     }
 
     private void handleNotice(SiteDialect.AnswerKind kind, TargetNotice notice) {
@@ -345,14 +346,14 @@
             org.eclipse.jetty.client.Response answer,
             Content.Source body) {
         mPhase.set(Phase.ENDED);
-        if (kind == SiteDialect.AnswerKind.FOREIGN) {
+        if (kind == SiteDialect.AnswerKind.MISMATCHED) {
             body.fail(new IllegalStateException("an answer to another request"));
             endBroken(true);
             mContext.metrics().foreignAnswers().inc();
             mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
             Outcome.Unknown lost = new Outcome.Unknown(UnknownReason.ANSWER_LOST);
             mAcknowledgements.runAfterPendingWrite(
-                    () -> Outcomes.write(mResponse, mCallback, lost));
+                    () -> OutcomeCodec.write(mResponse, mCallback, lost));
             return;
         }
         mContext.ledger().completed(mAttempt, answer.getStatus(), mContext.ticker().millis());
@@ -477,11 +478,12 @@
         mGate.addHeaders(mResponse.getHeaders());
         mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
         Outcome.NotRun outcome = new Outcome.NotRun(reason, retryAfterMillis);
-        mAcknowledgements.runAfterPendingWrite(() -> Outcomes.write(mResponse, mCallback, outcome));
+        mAcknowledgements.runAfterPendingWrite(
+                () -> OutcomeCodec.write(mResponse, mCallback, outcome));
     }
 
     private void stopTimers() {
-        HangUpEndPoint.release(mRequest);
+        DisconnectDetectingEndPoint.unwatch(mRequest);
         cancel(mTimeoutTask);
         mAcknowledgements.stop();
     }
--- a/src/main/java/org/apricotgauge/target/RetryCharge.java
+++ b/src/main/java/org/apricotgauge/target/RetryCharge.java
@@ -56,17 +56,17 @@
     }
 
     private static Kind kindOf(HttpFields headers) {
-        String repeat = headers.get(HeaderNames.REPEAT);
-        if (HeaderNames.REPEAT_PAID.equals(repeat)) {
+        String repeat = headers.get(HeaderNames.RETRY);
+        if (HeaderNames.RETRY_PREPAID.equals(repeat)) {
             return Kind.PREPAID_RETRY;
         }
-        if (HeaderNames.REPEAT_PARENT.equals(repeat)) {
+        if (HeaderNames.RETRY_OF_PARENT.equals(repeat)) {
             return Kind.NESTED_CALL_OF_RETRY;
         }
         if (repeat != null) {
             return Kind.RETRY;
         }
-        return headers.contains(HeaderNames.CALL) ? Kind.NESTED_CALL : Kind.FIRST_RUN;
+        return headers.contains(HeaderNames.NESTED_CALL) ? Kind.NESTED_CALL : Kind.FIRST_RUN;
     }
 
     /** Asked just before the request goes to its target; false if the budget is spent. */
--- a/src/main/java/org/apricotgauge/target/RunIdentity.java
+++ b/src/main/java/org/apricotgauge/target/RunIdentity.java
@@ -4,7 +4,7 @@
 import org.apricotgauge.decision.quarantine.Fingerprint;
 import org.apricotgauge.decision.quarantine.QuarantineTable;
 import org.apricotgauge.http.Fingerprints;
-import org.apricotgauge.http.HashedBody;
+import org.apricotgauge.http.HashingBody;
 import org.apricotgauge.http.HeaderNames;
 import org.apricotgauge.http.ReplayableBody;
 import org.apricotgauge.http.SiteDialect;
@@ -25,7 +25,7 @@
         mId = dialect.requestId(request.getHeaders());
         mRequest = request;
         mReplayableBody = new ReplayableBody(request, 0);
-        mHeadHash = Fingerprints.headOf(request, member == null ? Member.ANONYMOUS_ID : member);
+        mHeadHash = Fingerprints.headHash(request, member == null ? Member.ANONYMOUS_ID : member);
         if (!Fingerprints.hasBody(request)) {
             mBodyHash.end();
         }
@@ -43,7 +43,7 @@
     /** Returns the body, which tells the fingerprint as it is read. */
     org.eclipse.jetty.client.Request.Content body() {
         org.eclipse.jetty.client.Request.Content body = mReplayableBody.open();
-        return mBodyHash.isComplete() ? body : new HashedBody(body, mBodyHash);
+        return mBodyHash.isComplete() ? body : new HashingBody(body, mBodyHash);
     }
 
     /**
--- a/src/main/java/org/apricotgauge/target/TargetRequestFactory.java
+++ b/src/main/java/org/apricotgauge/target/TargetRequestFactory.java
@@ -32,7 +32,7 @@
                 headers -> {
                     ForwardedHeaders.copyRequest(from.getHeaders(), headers);
                     context.dialect()
-                            .towardsTarget(
+                            .addTargetHeaders(
                                     headers, gate.target().id(), leftMillis, memberOf(ticket));
                 });
         to.body(identity.body());
--- a/src/test/java/org/apricotgauge/control/ConfigHistoryFoldTest.java
+++ b/src/test/java/org/apricotgauge/control/ConfigHistoryFoldTest.java
@@ -10,7 +10,7 @@
     private final ConfigHistoryFold mFold = new ConfigHistoryFold();
 
     @Test
-    void aRefusedRecordMovesThePositionButNotTheVersion() {
+    void refusedRecordAdvancesPositionButNotVersion() {
         ConfigHistory history = mFold.apply(mFold.empty(), new LogRecord(1, "no patch"));
         assertThat(mFold.position(history)).isEqualTo(1);
         assertThat(mFold.version(history)).isZero();
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void aDecodedSnapshotHasTheDigestOfTheHistory() {
+    void decodedSnapshotHasSameDigest() {
         ConfigHistory history = mFold.apply(mFold.empty(), new LogRecord(1, "no patch"));
         ConfigHistory decoded = mFold.decode(mFold.encode(history));
         assertThat(mFold.digest(decoded)).isEqualTo(mFold.digest(history));
--- a/src/test/java/org/apricotgauge/control/ControlClockTest.java
+++ b/src/test/java/org/apricotgauge/control/ControlClockTest.java
@@ -26,12 +26,12 @@
  * first said so. The first's reading comes ahead of the news, so that the second's is greater.
  */
 class ControlClockTest {
-    private static final long BOUND_SECONDS = 30;
+    private static final long TIMEOUT_SECONDS = 30;
     private static final long WALL_MILLIS = 1_700_000_000_000L;
 
     private static final class Node implements ControlListener<ChainFold.Chain> {
         final HybridClock mClock;
-        final CompletableFuture<HlcTimestamp> mHeardAt = new CompletableFuture<>();
+        final CompletableFuture<HlcTimestamp> mReceivedAt = new CompletableFuture<>();
         ControlPlane<ChainFold.Chain> mPlane;
 
         Node(long wallMillis) {
@@ -39,23 +39,23 @@
         }
 
         @Override
-        public Optional<HlcTimestamp> clock() {
+        public Optional<HlcTimestamp> clockReading() {
             return Optional.of(mClock.now());
         }
 
         @Override
-        public void onClock(HlcTimestamp reading) {
+        public void onClockReading(HlcTimestamp reading) {
             mClock.observe(reading);
         }
 
         @Override
         public void onLeaving(LeavingNotice notice) {
-            mHeardAt.complete(mClock.now());
+            mReceivedAt.complete(mClock.now());
         }
     }
 
     @Test
-    void newsIsHeardAtAGreaterReadingThanItWasToldAt() throws Exception {
+    void receiverClockExceedsSenderClock() throws Exception {
         try (PlatformStandin platform = PlatformStandin.start("127.0.0.1", 0);
                 PlatformClient client = HttpPlatformClient.open(platform.uri())) {
             Node ahead = new Node(WALL_MILLIS);
@@ -65,12 +65,13 @@
                     behind,
                     client,
                     ControlSettings.of("site", vm(1)).withSeeds(List.of(ahead.mPlane.address())));
-            behind.mPlane.opened().get(BOUND_SECONDS, TimeUnit.SECONDS);
+            behind.mPlane.ready().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 
             HlcTimestamp toldAt = ahead.mClock.now();
             ahead.mPlane.announceLeaving();
 
-            assertThat(behind.mHeardAt.get(BOUND_SECONDS, TimeUnit.SECONDS)).isGreaterThan(toldAt);
+            assertThat(behind.mReceivedAt.get(TIMEOUT_SECONDS, TimeUnit.SECONDS))
+                    .isGreaterThan(toldAt);
             behind.mPlane.close();
             ahead.mPlane.close();
         }
--- a/src/test/java/org/apricotgauge/control/ControlPlaneTest.java
+++ b/src/test/java/org/apricotgauge/control/ControlPlaneTest.java
@@ -22,7 +22,7 @@
 
 /** The whole path over real sockets; each step waits for a condition, never for a time. */
 class ControlPlaneTest {
-    private static final long BOUND_SECONDS = 30;
+    private static final long TIMEOUT_SECONDS = 30;
 
     private final PlatformStandin mStandin = PlatformStandin.start("127.0.0.1", 0);
     private final PlatformClient mClient = HttpPlatformClient.open(mStandin.uri());
@@ -64,11 +64,11 @@
     }
 
     private static void await(CountDownLatch latch) throws InterruptedException {
-        assertThat(latch.await(BOUND_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-    void bringsRecordsNoticesAndEvidenceToAllAndOutlivesThePlatform() throws Exception {
+    void distributesStateAndSurvivesPlatformOutage() throws Exception {
         Node first = start(0, List.of());
         Node second = start(1, List.of(first.mPlane.address()));
         mStandin.setVms(
@@ -78,7 +78,7 @@
         mStandin.append("a");
         mStandin.append("b");
         for (Node node : mFleet) {
-            node.mPlane.opened().get(BOUND_SECONDS, TimeUnit.SECONDS);
+            node.mPlane.ready().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             while (node.mPlane.currentHistory().position() < 2) {
                 Thread.onSpinWait();
             }
@@ -86,7 +86,7 @@
         }
         mStandin.setMode(PlatformMode.DOWN);
         Node third = start(2, List.of(second.mPlane.address()));
-        third.mPlane.opened().get(BOUND_SECONDS, TimeUnit.SECONDS);
+        third.mPlane.ready().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertThat(third.mPlane.currentHistory()).isEqualTo(first.mPlane.currentHistory());
         third.mPlane.publishEvidence("target-1", 1, 10_000, new byte[] {1});
         third.mPlane.announceLeaving("target-1");
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void staysClosedWhileNobodyAnswers() throws Exception {
+    void isNotReadyWhileNobodyAnswers() throws Exception {
         // Caller: a node that knows no route answers everything with "no such route". Platform and
         // peers are all unreachable at its start.
         mStandin.setMode(PlatformMode.DOWN);
@@ -103,8 +103,8 @@
         while (alone.mMetrics.counter("platform.failures").getCount() < 3) {
             Thread.onSpinWait();
         }
-        assertThat(alone.mPlane.opened()).isNotDone();
+        assertThat(alone.mPlane.ready()).isNotDone();
         mStandin.setMode(PlatformMode.UP);
-        alone.mPlane.opened().get(BOUND_SECONDS, TimeUnit.SECONDS);
+        alone.mPlane.ready().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 }
--- a/src/test/java/org/apricotgauge/http/BearerKeyTest.java
+++ b/src/test/java/org/apricotgauge/http/BearerKeyTest.java
@@ -12,13 +12,13 @@
     private static final Credentials KEY = Credentials.ofKey(KeyDigest.of("k1"));
 
     @Test
-    void theSchemeHasNoCase() {
+    void schemeIsCaseInsensitive() {
         assertThat(read("Bearer k1")).isEqualTo(KEY);
         assertThat(read("bearer  k1 ")).isEqualTo(KEY);
     }
 
     @Test
-    void whatIsNoSingleKeyIsNotReadAsOne() {
+    void rejectsMissingMalformedAndMultipleKeys() {
         assertThat(BearerKey.read(HttpFields.EMPTY)).isEqualTo(Credentials.NONE);
         assertThat(read("Basic azE6")).isEqualTo(Credentials.UNREADABLE);
         assertThat(read("Bearer ")).isEqualTo(Credentials.UNREADABLE);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aDigestTellsNothingOfItsKey() {
+    void digestDoesNotRevealKey() {
         assertThat(KEY.toString()).doesNotContain("k1");
         assertThat(KeyDigest.parse(KeyDigest.of("k1").toString())).isEqualTo(KeyDigest.of("k1"));
     }
--- a/src/test/java/org/apricotgauge/http/RenewableConnectionPoolTest.java
+++ b/src/test/java/org/apricotgauge/http/EvictableConnectionPoolTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 /** A pool that ends. */
-class RenewableConnectionPoolTest {
+class EvictableConnectionPoolTest {
 
     @Test
-    void aPoolThatIsClosedWhileAConnectionIsBeingOpenedEndsInOrder() throws Exception {
+    void removesPlaceWithoutConnection() throws Exception {
         // A node stops while one of its connections to a target is not there yet. The pool gives
         // up a place that holds no connection; the failure of that broke off the client's stop,
         // seen once in a test of the request path.
@@ -21,7 +21,7 @@
         try (ServerSocket target = new ServerSocket(0)) {
             Request request = client.newRequest("127.0.0.1", target.getLocalPort());
             Destination destination = client.resolveDestination(request);
-            RenewableConnectionPool pool = new RenewableConnectionPool(destination, 1);
+            EvictableConnectionPool pool = new EvictableConnectionPool(destination, 1);
 
             assertThatCode(() -> pool.onRemoved(null)).doesNotThrowAnyException();
         } finally {
--- a/src/test/java/org/apricotgauge/http/ReplayableBodyTest.java
+++ b/src/test/java/org/apricotgauge/http/ReplayableBodyTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aSmallBodyIsSentAgainFromItsStart() {
+    void smallBodyIsReplayedFromStart() {
         ReplayableBody body = body(100, "ab", "cd", "ef");
         assertThat(read(body.open(), 2)).isEqualTo("abcd");
         assertThat(body.canReplay()).isTrue();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aLargeBodyStreamsAndGoesOutOnce() {
+    void largeBodyIsStreamedOnce() {
         ReplayableBody body = body(3, "ab", "cd", "ef");
         assertThat(read(body.open(), 10)).isEqualTo("abcdef.");
         assertThat(body.canReplay()).isFalse();
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void anAbandonedAttemptReadsNothingMore() {
+    void abandonedAttemptCannotReadFurther() {
         // The caller's bytes must reach the attempt that is under way, and no other. The first
         // attempt is given up and still reads; it gets an error, and takes nothing from the second.
         ReplayableBody body = body(100, "ab", "cd");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aFailedAttemptDoesNotFailTheNext() {
+    void failedAttemptDoesNotFailNext() {
         ReplayableBody body = body(100, "ab", "cd");
         Request.Content first = body.open();
         first.fail(new IllegalStateException("connection broke"));
--- a/src/test/java/org/apricotgauge/peer/MessageCodecTest.java
+++ b/src/test/java/org/apricotgauge/peer/MessageCodecTest.java
@@ -16,14 +16,14 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 class MessageCodecTest {
-    private static final int TYPE = MessageCodec.LENGTH_BYTES;
+    private static final int TYPE_OFFSET = MessageCodec.LENGTH_BYTES;
 
     private static PeerMessage decode(byte[] frame) throws IOException {
-        return MessageCodec.decode(frame, TYPE, frame.length - TYPE);
+        return MessageCodec.decode(frame, TYPE_OFFSET, frame.length - TYPE_OFFSET);
     }
 
     @Test
-    void readsWhatItWrote() throws IOException {
+    void roundTripsMessages() throws IOException {
         PeerMessage ping = new PeerMessage.Ping(7, new StateSummary(1, "d", 2, -3));
         assertThat(decode(MessageCodec.encode(ping))).isEqualTo(ping);
         PeerMessage entries =
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void ignoresFieldsAndTypesOfALaterRelease() throws IOException {
+    void ignoresFieldsAndTypesOfLaterRelease() throws IOException {
         // Fleet: half of it runs a later release for a while, whose messages hold more.
         byte[] body =
                 new ObjectMapper(new MessagePackFactory())
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void refusesWhatIsNoMessageOrTooLong() {
+    void rejectsMalformedAndOversizedFrames() {
         byte[] frame = {MessageType.PING.number(), 1, 2, 3};
         assertThatThrownBy(() -> MessageCodec.decode(frame, 0, frame.length))
                 .isInstanceOf(IOException.class);
--- a/src/test/java/org/apricotgauge/platform/kv/KvDialectTest.java
+++ b/src/test/java/org/apricotgauge/platform/kv/KvDialectTest.java
@@ -27,15 +27,15 @@
     void anAnswerToAnotherRequestIsForeign() {
         // A target's second answer to the request before arrives where the next one is expected.
         assertThat(kind(200, "X-Attempt-Id", "zero", "X-Server-Signature", "s"))
-                .isEqualTo(AnswerKind.FOREIGN);
+                .isEqualTo(AnswerKind.MISMATCHED);
         assertThat(kind(503, "X-Attempt-Id", "zero", "X-Not-Executed", "1"))
-                .isEqualTo(AnswerKind.FOREIGN);
+                .isEqualTo(AnswerKind.MISMATCHED);
     }
 
     @Test
     void aSuccessNeedsTheTargetsMark() {
-        assertThat(kind(200, "X-Attempt-Id", "one")).isEqualTo(AnswerKind.FOREIGN);
-        assertThat(kind(200, "X-Server-Signature", "s")).isEqualTo(AnswerKind.FOREIGN);
+        assertThat(kind(200, "X-Attempt-Id", "one")).isEqualTo(AnswerKind.MISMATCHED);
+        assertThat(kind(200, "X-Server-Signature", "s")).isEqualTo(AnswerKind.MISMATCHED);
         assertThat(kind(200, "X-Attempt-Id", "one", "X-Server-Signature", "s"))
                 .isEqualTo(AnswerKind.ANSWER);
     }
@@ -53,7 +53,7 @@
     void theOriginIsWrittenOverWhatACallerClaims() {
         HttpFields.Mutable headers = HttpFields.build().put("X-Caller-Service", "forged");
 
-        mDialect.markOrigin(headers);
+        mDialect.addOriginHeaders(headers);
 
         assertThat(headers.getValuesList("X-Caller-Service")).containsExactly("booking");
     }
@@ -65,7 +65,7 @@
                         .put("X-Timeout-Remaining", "9000")
                         .put("X-Expected-Instance", "x");
 
-        mDialect.towardsTarget(headers, "i-1", 250, Optional.empty());
+        mDialect.addTargetHeaders(headers, "i-1", 250, Optional.empty());
 
         assertThat(headers.getValuesList("X-Timeout-Remaining")).containsExactly("250");
         assertThat(headers.getValuesList("X-Expected-Instance")).containsExactly("i-1");
@@ -77,10 +77,10 @@
         HttpFields.Mutable headers =
                 HttpFields.build().add("x-tenant", "forged").add("X-TENANT", "forged too");
 
-        mDialect.towardsTarget(headers, "i-1", 250, Optional.of("stable"));
+        mDialect.addTargetHeaders(headers, "i-1", 250, Optional.of("stable"));
         assertThat(headers.getValuesList("X-Tenant")).containsExactly("stable");
 
-        mDialect.towardsTarget(headers, "i-1", 250, Optional.empty());
+        mDialect.addTargetHeaders(headers, "i-1", 250, Optional.empty());
         assertThat(headers.contains("X-Tenant")).isFalse();
     }
 
@@ -88,7 +88,7 @@
     void aMemberIsNamedByItsKeyAlone() {
         HttpFields forged = HttpFields.build().put("Apricotgauge-Member", "stable");
 
-        assertThat(mDialect.namedMember(forged)).isEmpty();
+        assertThat(mDialect.declaredMember(forged)).isEmpty();
     }
 
     @Test
--- a/src/test/java/org/apricotgauge/target/RetryChargeTest.java
+++ b/src/test/java/org/apricotgauge/target/RetryChargeTest.java
@@ -43,10 +43,10 @@
     void prepaidRetryIsNotCharged() {
         RetryBudget budget = new RetryBudget(0, 1, 0);
 
-        assertThat(chargeOf(HeaderNames.REPEAT_PAID, budget).tryCharge()).isTrue();
-        assertThat(chargeOf(HeaderNames.REPEAT_OWN, budget).tryCharge()).isTrue();
-        assertThat(chargeOf(HeaderNames.REPEAT_OWN, budget).tryCharge()).isFalse();
-        assertThat(chargeOf(HeaderNames.REPEAT_PAID, budget).tryCharge()).isTrue();
+        assertThat(chargeOf(HeaderNames.RETRY_PREPAID, budget).tryCharge()).isTrue();
+        assertThat(chargeOf(HeaderNames.RETRY_OF_REQUEST, budget).tryCharge()).isTrue();
+        assertThat(chargeOf(HeaderNames.RETRY_OF_REQUEST, budget).tryCharge()).isFalse();
+        assertThat(chargeOf(HeaderNames.RETRY_PREPAID, budget).tryCharge()).isTrue();
         assertThat(chargeOf(null, budget).tryPrepayRetry()).isFalse();
     }
 
@@ -70,7 +70,7 @@
             pass.tryCharge();
             if (fails) {
                 boolean paid = whoFailsPays && pass.tryPrepayRetry();
-                String repeat = paid ? HeaderNames.REPEAT_PAID : HeaderNames.REPEAT_OWN;
+                String repeat = paid ? HeaderNames.RETRY_PREPAID : HeaderNames.RETRY_OF_REQUEST;
                 repeats++;
                 refused += chargeOf(repeat, mBudgets.get(randomHealthyGuard())).tryCharge() ? 0 : 1;
             }
@@ -85,7 +85,7 @@
     private RetryCharge chargeOf(String repeat, RetryBudget budget) {
         HttpFields.Mutable headers = HttpFields.build();
         if (repeat != null) {
-            headers.put(HeaderNames.REPEAT, repeat);
+            headers.put(HeaderNames.RETRY, repeat);
         }
         return new RetryCharge(headers, budget, mTicker, () -> {});
     }
