--- a/src/main/java/org/apricotgauge/bench/SoakFleet.java
+++ b/src/main/java/org/apricotgauge/bench/SoakFleet.java
@@ -191,7 +191,7 @@
                 mVersionFalls++;
             }
             mHighest.put(node, version);
-            if (node.broken().isDone()) {
+            if (node.brokenInvariant().isDone()) {
                 mBroken++;
             }
         }
--- a/src/main/java/org/apricotgauge/node/FleetRecorder.java
+++ b/src/main/java/org/apricotgauge/node/ControlEventRecorder.java
@@ -16,17 +16,17 @@
 import org.apricotgauge.model.Vm;
 
 /** Records what changes at the control plane: suspicions, the watch, refused patches. */
-final class FleetRecorder {
+final class ControlEventRecorder {
     private final EventRecorder mEvents;
     private Set<String> mSuspected = Set.of();
     private WatcherElection.Role mRole = WatcherElection.Role.PASSIVE;
 
-    FleetRecorder(EventRecorder events) {
+    ControlEventRecorder(EventRecorder events) {
         mEvents = events;
     }
 
     /** Records which peers became suspected, and which were heard of again. */
-    synchronized void view(VmView view) {
+    synchronized void recordView(VmView view) {
         Set<String> suspected = new HashSet<>();
         for (Vm vm : view.nodes()) {
             if (view.unreachable(vm.id())) {
@@ -48,7 +48,7 @@
     }
 
     /** Records whether this node took over or released the watch of the platform. */
-    synchronized void role(WatcherElection.Role role) {
+    synchronized void recordRole(WatcherElection.Role role) {
         boolean watched = mRole == WatcherElection.Role.WATCH;
         boolean watches = role == WatcherElection.Role.WATCH;
         if (watches && !watched) {
@@ -62,7 +62,7 @@
     }
 
     /** Records that an entry of the platform's list was refused as a whole. */
-    void refused(LogEntry entry, FoldResult.Refused refused) {
+    void recordRefusal(LogEntry entry, FoldResult.Refused refused) {
         long currentVersion = refused.history().version();
         RefusalReason first = refused.reasons().get(0);
         long appliesTo =
--- a/src/main/java/org/apricotgauge/node/CrashNews.java
+++ b/src/main/java/org/apricotgauge/node/CrashMessageTransport.java
@@ -16,7 +16,7 @@
  * Carries what nodes tell each other of crashes, one message a datagram; {@link
  * org.apricotgauge.decision.quarantine.CrashGossip} makes up for those that are lost.
  */
-final class CrashNews implements AutoCloseable {
+final class CrashMessageTransport implements AutoCloseable {
     private static final ObjectMapper MAPPER = mapper();
     private static final ObjectWriter WRITER = MAPPER.writerFor(CrashMessage.class);
     private static final ObjectReader READER = MAPPER.readerFor(CrashMessage.class);
@@ -24,7 +24,7 @@
     private final DatagramPort mPort;
 
     /** Creates a carrier on a port that others may share. */
-    CrashNews(DatagramPort port) {
+    CrashMessageTransport(DatagramPort port) {
         mPort = port;
     }
 
@@ -59,11 +59,12 @@
      * @param receiver hears messages, on the port's own thread
      * @throws IOException if the port can't be had
      */
-    static CrashNews start(Address own, Ticker ticker, BiConsumer<Address, CrashMessage> receiver)
+    static CrashMessageTransport start(
+            Address own, Ticker ticker, BiConsumer<Address, CrashMessage> receiver)
             throws IOException {
         DatagramPort port = DatagramPort.open(own, "crash news", ticker);
         port.listen((from, bytes, length) -> receiver.accept(from, decode(bytes, length)));
-        return new CrashNews(port);
+        return new CrashMessageTransport(port);
     }
 
     /** Sends a message; it may be lost. */
--- a/src/main/java/org/apricotgauge/node/DatagramPort.java
+++ b/src/main/java/org/apricotgauge/node/DatagramPort.java
@@ -27,16 +27,16 @@
     private static final Logger LOGGER = Logger.getLogger(DatagramPort.class);
 
     /** VMs come and go; addresses of those that went are forgotten with all others. */
-    private static final int MAX_SOCKETS = 4_096;
+    private static final int MAX_CACHED_ADDRESSES = 4_096;
 
-    private static final int MAX_BYTES = 2_048;
-    private static final long WARN_EVERY_MILLIS = 60_000;
+    private static final int MAX_DATAGRAM_BYTES = 2_048;
+    private static final long WARNING_INTERVAL_MILLIS = 60_000;
 
     private final DatagramChannel mChannel;
     private final String mName;
     private final Ticker mTicker;
-    private final Map<Address, InetSocketAddress> mSockets = new ConcurrentHashMap<>();
-    private volatile long mWarnedMillis = Long.MIN_VALUE / 2;
+    private final Map<Address, InetSocketAddress> mSocketAddresses = new ConcurrentHashMap<>();
+    private volatile long mLastWarningMillis = Long.MIN_VALUE / 2;
 
     /** Hears datagrams, on the port's own thread. */
     @FunctionalInterface
@@ -49,7 +49,7 @@
          * @param length its length
          * @throws IOException if it is malformed
          */
-        void received(Address from, byte[] bytes, int length) throws IOException;
+        void onDatagram(Address from, byte[] bytes, int length) throws IOException;
     }
 
     private DatagramPort(DatagramChannel channel, String name, Ticker ticker) {
@@ -84,12 +84,12 @@
     }
 
     private void receiveUntilClosed(Receiver receiver) {
-        ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         while (mChannel.isOpen()) {
             try {
                 buffer.clear();
                 InetSocketAddress from = (InetSocketAddress) mChannel.receive(buffer);
-                receiver.received(
+                receiver.onDatagram(
                         new Address(from.getAddress().getHostAddress(), from.getPort()),
                         buffer.array(),
                         buffer.position());
@@ -104,7 +104,7 @@
     /** Sends a datagram; it may be lost. */
     void send(byte[] bytes, Address to) {
         try {
-            mChannel.send(ByteBuffer.wrap(bytes), socketOf(to));
+            mChannel.send(ByteBuffer.wrap(bytes), socketAddressOf(to));
         } catch (ClosedChannelException e) {
             LOGGER.debugf("%s: closed, nothing is told to %s", mName, to);
         } catch (IOException e) {
@@ -113,18 +113,18 @@
     }
 
     // Reading an IP number costs several times what sending a datagram does.
-    private InetSocketAddress socketOf(Address to) {
-        if (mSockets.size() > MAX_SOCKETS) {
-            mSockets.clear();
+    private InetSocketAddress socketAddressOf(Address to) {
+        if (mSocketAddresses.size() > MAX_CACHED_ADDRESSES) {
+            mSocketAddresses.clear();
         }
-        return mSockets.computeIfAbsent(
+        return mSocketAddresses.computeIfAbsent(
                 to, address -> new InetSocketAddress(address.host(), address.port()));
     }
 
     private void warn(String what, Exception e) {
         long nowMillis = mTicker.millis();
-        if (nowMillis - mWarnedMillis >= WARN_EVERY_MILLIS) {
-            mWarnedMillis = nowMillis;
+        if (nowMillis - mLastWarningMillis >= WARNING_INTERVAL_MILLIS) {
+            mLastWarningMillis = nowMillis;
             LOGGER.warnf("%s: %s: %s", mName, what, e);
         }
     }
--- a/src/main/java/org/apricotgauge/node/DetectionService.java
+++ b/src/main/java/org/apricotgauge/node/DetectionService.java
@@ -33,8 +33,8 @@
     /** Detectors held at once, those that hold a target out of service not counted. */
     static final int MAX_DETECTORS = 256;
 
-    private final ConcurrentMap<String, Entry> mDetectors = new ConcurrentHashMap<>();
-    private final ConcurrentMap<String, EjectionVerdicts> mLast = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, DetectorEntry> mDetectors = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, EjectionVerdicts> mLastVerdicts = new ConcurrentHashMap<>();
     private final RoutingState mState;
     private final Ticker mTicker;
     private final long mIncarnation;
@@ -42,22 +42,22 @@
     private final Executor mExecutor;
 
     /** A detector, and whether it has seen anything since it last decided. */
-    private static final class Entry {
+    private static final class DetectorEntry {
         private final Service mService;
         private final ServiceDetector mDetector;
-        private volatile boolean mNews = true;
-        private volatile long mOverdueMicros = Long.MAX_VALUE;
-        private volatile long mUsedMillis;
+        private volatile boolean mHasNewObservations = true;
+        private volatile long mUnresponsiveAfterMicros = Long.MAX_VALUE;
+        private volatile long mLastUsedMillis;
 
-        private Entry(Service service, ServiceDetector detector, long nowMillis) {
+        private DetectorEntry(Service service, ServiceDetector detector, long nowMillis) {
             mService = service;
             mDetector = detector;
-            mUsedMillis = nowMillis;
+            mLastUsedMillis = nowMillis;
         }
 
-        private void used(long nowMillis) {
-            mUsedMillis = nowMillis;
-            mNews = true;
+        private void markUsed(long nowMillis) {
+            mLastUsedMillis = nowMillis;
+            mHasNewObservations = true;
         }
     }
 
@@ -65,7 +65,7 @@
     @FunctionalInterface
     interface VerdictListener {
         /** Called for each decision that changed a state; {@code before} may be null. */
-        void decided(String service, EjectionVerdicts before, EjectionVerdicts after);
+        void onVerdicts(String service, EjectionVerdicts before, EjectionVerdicts after);
     }
 
     DetectionService(
@@ -81,7 +81,8 @@
         mExecutor = executor;
     }
 
-    void observed(Target target, ObservationPoint end, ObservedOutcome outcome, long micros) {
+    void recordObservation(
+            Target target, ObservationPoint end, ObservedOutcome outcome, long micros) {
         Service service = mState.table().configuration().service(target.service());
         if (service == null) {
             return;
@@ -95,13 +96,13 @@
     }
 
     /** Returns after which service time a request at a target of this VM counts as overdue. */
-    long overdueMicros(Target target) {
-        Entry entry = mDetectors.get(target.service());
-        return entry == null ? Long.MAX_VALUE : entry.mOverdueMicros;
+    long unresponsiveAfterMicros(Target target) {
+        DetectorEntry entry = mDetectors.get(target.service());
+        return entry == null ? Long.MAX_VALUE : entry.mUnresponsiveAfterMicros;
     }
 
     /** Takes in the evidence that another node's guard gave with an answer, or by gossip. */
-    void heard(String vm, String serviceId, EvidenceDigest digest) {
+    void mergeRemoteEvidence(String vm, String serviceId, EvidenceDigest digest) {
         Service service = mState.table().configuration().service(serviceId);
         if (service != null) {
             detectorOf(service, true).mergeRemote(vm, digest, mTicker.millis());
@@ -128,17 +129,18 @@
 
     /** Returns the last verdicts of a service; null if none were made. */
     EjectionVerdicts verdictsOf(String service) {
-        return mLast.get(service);
+        return mLastVerdicts.get(service);
     }
 
     /** Decides about the services of which something was seen or is amiss. */
     void tick() {
         Configuration configuration = mState.table().configuration();
         mDetectors.keySet().removeIf(id -> configuration.service(id) == null);
-        mLast.keySet().removeIf(id -> configuration.service(id) == null);
+        mLastVerdicts.keySet().removeIf(id -> configuration.service(id) == null);
         mDetectors.forEach(
                 (service, entry) -> {
-                    if (entry.mNews || isAmiss(mLast.get(service))) {
+                    if (entry.mHasNewObservations
+                            || isUndecidedOrUnhealthy(mLastVerdicts.get(service))) {
                         decide(service);
                     }
                 });
@@ -154,62 +156,65 @@
             return;
         }
         mDetectors.entrySet().stream()
-                .filter(one -> !isAmiss(mLast.get(one.getKey())))
-                .sorted(Comparator.comparingLong(one -> one.getValue().mUsedMillis))
+                .filter(one -> !isUndecidedOrUnhealthy(mLastVerdicts.get(one.getKey())))
+                .sorted(Comparator.comparingLong(one -> one.getValue().mLastUsedMillis))
                 .limit(excess)
                 .map(Map.Entry::getKey)
                 .toList()
-                .forEach(this::forget);
+                .forEach(this::removeDetector);
     }
 
-    private void forget(String service) {
+    private void removeDetector(String service) {
         mDetectors.remove(service);
-        mLast.remove(service);
+        mLastVerdicts.remove(service);
     }
 
-    private static boolean isAmiss(EjectionVerdicts verdicts) {
+    private static boolean isUndecidedOrUnhealthy(EjectionVerdicts verdicts) {
         return verdicts == null
                 || verdicts.byTarget().values().stream()
                         .anyMatch(one -> one.state() != VerdictState.HEALTHY);
     }
 
     private ServiceDetector detectorOf(Service service, boolean news) {
-        Entry entry = mDetectors.get(service.id());
+        DetectorEntry entry = mDetectors.get(service.id());
         if (entry == null || entry.mService != service) {
-            entry = mDetectors.compute(service.id(), (id, old) -> renewed(old, service));
+            entry = mDetectors.compute(service.id(), (id, old) -> updatedEntry(old, service));
         }
         if (news) {
-            entry.used(mTicker.millis());
+            entry.markUsed(mTicker.millis());
         }
         return entry.mDetector;
     }
 
     /** Keeps the evidence when floor or odds change; the next decisions weigh it anew. */
-    private Entry renewed(Entry old, Service service) {
+    private DetectorEntry updatedEntry(DetectorEntry old, Service service) {
         if (old == null) {
-            return new Entry(service, new ServiceDetector(service, mIncarnation), mTicker.millis());
+            return new DetectorEntry(
+                    service, new ServiceDetector(service, mIncarnation), mTicker.millis());
         }
         old.mDetector.update(service);
-        return new Entry(service, old.mDetector, mTicker.millis());
+        return new DetectorEntry(service, old.mDetector, mTicker.millis());
     }
 
     private void decide(String service) {
-        Entry entry = mDetectors.get(service);
+        DetectorEntry entry = mDetectors.get(service);
         if (entry == null) {
             return;
         }
-        entry.mNews = false;
+        entry.mHasNewObservations = false;
         // Worked out at decisions, not for each request, which would wait for the detector's lock.
-        entry.mOverdueMicros = entry.mDetector.unresponsiveAfterMicros(ObservationPoint.GUARD);
-        EjectionVerdicts verdicts = entry.mDetector.decide(mTicker.millis(), membership(service));
-        EjectionVerdicts before = mLast.put(service, verdicts);
-        if (before == null || !sameWeights(before, verdicts)) {
+        entry.mUnresponsiveAfterMicros =
+                entry.mDetector.unresponsiveAfterMicros(ObservationPoint.GUARD);
+        EjectionVerdicts verdicts =
+                entry.mDetector.decide(mTicker.millis(), configuredTargets(service));
+        EjectionVerdicts before = mLastVerdicts.put(service, verdicts);
+        if (before == null || !hasSameWeights(before, verdicts)) {
             mState.verdictsChanged(service, verdicts);
         }
-        mListener.decided(service, before, verdicts);
+        mListener.onVerdicts(service, before, verdicts);
     }
 
-    private ConfiguredTargets membership(String service) {
+    private ConfiguredTargets configuredTargets(String service) {
         List<ConfiguredTargets.ConfiguredTarget> entries = new ArrayList<>();
         for (Target target : mState.table().configuration().targetsOf(service)) {
             TargetPresence presence =
@@ -220,7 +225,7 @@
         return new ConfiguredTargets(entries);
     }
 
-    private static boolean sameWeights(EjectionVerdicts before, EjectionVerdicts after) {
+    private static boolean hasSameWeights(EjectionVerdicts before, EjectionVerdicts after) {
         if (!before.byTarget().keySet().equals(after.byTarget().keySet())) {
             return false;
         }
--- a/src/main/java/org/apricotgauge/node/DirectoryControl.java
+++ b/src/main/java/org/apricotgauge/node/DirectoryControl.java
@@ -40,20 +40,20 @@
  */
 final class DirectoryControl implements NodeControl {
     private static final char SEPARATOR = ';';
-    private static final String UNREADABLE = "directory.unreadable_hints";
+    private static final String UNREADABLE_HINTS = "directory.unreadable_hints";
 
     /**
      * Least pause between two acknowledgements that tell the view's age, in milliseconds; on each
      * of hundreds a second it would cost more than it is worth.
      */
-    static final long TELL_AGE_EVERY_MILLIS = 10;
+    static final long AGE_REPORT_INTERVAL_MILLIS = 10;
 
-    private final Parts mParts;
+    private final Dependencies mParts;
     private final SiteDefaults mDefaults;
     private final DirectoryFeed mFeed;
     private final PageCodec mCodec = new PageCodec();
     private final long mMaxAgeMillis;
-    private final AtomicLong mToldAgeAtMillis = new AtomicLong(Long.MIN_VALUE / 2);
+    private final AtomicLong mAgeReportedAtMillis = new AtomicLong(Long.MIN_VALUE / 2);
     private Configuration mConfiguration = Configuration.EMPTY;
     private List<Route> mRoutes = List.of();
     private List<Member> mMembers = List.of();
@@ -61,7 +61,7 @@
     private volatile Mark mMark = new Mark("", "", 0);
 
     private DirectoryControl(
-            Parts parts,
+            Dependencies parts,
             PublishedSource platform,
             SiteDecoder decoder,
             SiteDefaults defaults,
@@ -73,14 +73,14 @@
                 new DirectoryFeed(
                         new DirectoryFeed.Parts(
                                 platform,
-                                peer -> new PeerSource(parts.questions(), mCodec, peer),
+                                peer -> new PeerSource(parts.queryClient(), mCodec, peer),
                                 decoder,
                                 parts.worker(),
                                 parts.ticker(),
                                 System::currentTimeMillis,
                                 ThreadLocalRandom.current(),
                                 times),
-                        this::onSite);
+                        this::onSiteChanged);
         mFeed.start();
     }
 
@@ -92,23 +92,23 @@
             PlatformTimes times) {
         return parts ->
                 new DirectoryControl(
-                        parts, platform.apply(parts.questions()), decoder, defaults, times);
+                        parts, platform.apply(parts.queryClient()), decoder, defaults, times);
     }
 
-    private void onSite(SiteDirectory directory) {
+    private void onSiteChanged(SiteDirectory directory) {
         PublishedConfiguration published = directory.configuration();
         if (published == null) {
             return;
         }
-        followRoutes(published);
-        followMembers(published.members());
-        Set<String> leaving = followTargets(directory.registrations());
+        updateRoutes(published);
+        updateMembers(published.members());
+        Set<String> leaving = updateTargets(directory.registrations());
         String version = "r" + published.version();
         mMark = new Mark(version, version, mFeed.newestRevision());
         // Members first: a new target whose guard is not known yet would be passed over, and a node
         // that has just started would refuse what it can serve.
         List<Address> guards = guards();
-        mParts.listener().onMembers(new Members(leaving, peers()));
+        mParts.listener().onMembers(new RegisteredMembers(leaving, peers()));
         mParts.listener().onConfiguration(published.version(), mConfiguration, mMark);
         mFeed.setNodes(readerTree(), guards);
         // Behind the tasks that change the table: the event stands where requests obey it.
@@ -126,7 +126,7 @@
         }
     }
 
-    private void followRoutes(PublishedConfiguration published) {
+    private void updateRoutes(PublishedConfiguration published) {
         for (String service : published.services()) {
             if (mConfiguration.service(service) == null) {
                 mConfiguration = mConfiguration.withService(mDefaults.service(service));
@@ -150,7 +150,7 @@
         }
     }
 
-    private void followMembers(List<Member> wanted) {
+    private void updateMembers(List<Member> wanted) {
         if (wanted.equals(mMembers)) {
             return;
         }
@@ -169,7 +169,7 @@
         }
     }
 
-    private Set<String> followTargets(List<Registration> registrations) {
+    private Set<String> updateTargets(List<Registration> registrations) {
         Set<String> present = new HashSet<>();
         Set<String> leaving = new HashSet<>();
         for (Registration registration : registrations) {
@@ -204,7 +204,7 @@
                 .map(
                         target ->
                                 new SiteMembers.Peer(
-                                        new Address(target.host(), mParts.crashNewsPort()),
+                                        new Address(target.host(), mParts.crashMessagePort()),
                                         target.failureDomain()))
                 .distinct()
                 .toList();
@@ -221,7 +221,7 @@
     }
 
     @Override
-    public CompletableFuture<Void> opened() {
+    public CompletableFuture<Void> ready() {
         return mFeed.ready();
     }
 
@@ -231,7 +231,7 @@
     }
 
     @Override
-    public boolean isCurrent() {
+    public boolean isSiteViewFresh() {
         return mFeed.isCurrent();
     }
 
@@ -266,7 +266,7 @@
     }
 
     @Override
-    public long beforeHop(HttpFields.Mutable headers) {
+    public long addHopHeaders(HttpFields.Mutable headers) {
         Address guard = new Address(mParts.vm().host(), mParts.vm().guardPort());
         headers.put(
                 HeaderNames.DIRECTORY, mFeed.newestRevision() + String.valueOf(SEPARATOR) + guard);
@@ -274,9 +274,9 @@
     }
 
     @Override
-    public void beforeAcknowledgement(HttpFields.Mutable headers) {
+    public void addAcknowledgementHeaders(HttpFields.Mutable headers) {
         SiteView view = mFeed.reportedView();
-        if (tellsAge(view)) {
+        if (shouldReportAge(view)) {
             headers.put(
                     HeaderNames.SITE_VIEW,
                     view.revision() + String.valueOf(SEPARATOR) + view.ageMillis());
@@ -284,17 +284,17 @@
     }
 
     // An older view confirms nothing that helps; and after a pause, the clock tells too little.
-    private boolean tellsAge(SiteView view) {
+    private boolean shouldReportAge(SiteView view) {
         long nowMillis = mParts.ticker().millis();
-        long toldAtMillis = mToldAgeAtMillis.get();
+        long toldAtMillis = mAgeReportedAtMillis.get();
         return view.ageMillis() < mMaxAgeMillis
                 && mFeed.mayAct()
-                && nowMillis - toldAtMillis >= TELL_AGE_EVERY_MILLIS
-                && mToldAgeAtMillis.compareAndSet(toldAtMillis, nowMillis);
+                && nowMillis - toldAtMillis >= AGE_REPORT_INTERVAL_MILLIS
+                && mAgeReportedAtMillis.compareAndSet(toldAtMillis, nowMillis);
     }
 
     @Override
-    public void hopArrived(HttpFields headers) {
+    public void handleHopHeaders(HttpFields headers) {
         String text = headers.get(HeaderNames.DIRECTORY);
         int at = text == null ? -1 : text.indexOf(SEPARATOR);
         int colon = text == null ? -1 : text.lastIndexOf(':');
@@ -306,12 +306,12 @@
             int port = Integer.parseInt(text, colon + 1, text.length(), 10);
             mFeed.hint(revision, new Address(text.substring(at + 1, colon), port));
         } catch (IllegalArgumentException e) {
-            mParts.metrics().counter(UNREADABLE).inc();
+            mParts.metrics().counter(UNREADABLE_HINTS).inc();
         }
     }
 
     @Override
-    public void acknowledged(HttpFields headers, long askedMillis) {
+    public void handleAcknowledgement(HttpFields headers, long askedMillis) {
         String text = headers.get(HeaderNames.SITE_VIEW);
         int at = text == null ? -1 : text.indexOf(SEPARATOR);
         if (at < 0) {
@@ -322,12 +322,12 @@
             long ageMillis = Long.parseLong(text, at + 1, text.length(), 10);
             mFeed.recordPeerView(new SiteView(revision, ageMillis), askedMillis);
         } catch (IllegalArgumentException e) {
-            mParts.metrics().counter(UNREADABLE).inc();
+            mParts.metrics().counter(UNREADABLE_HINTS).inc();
         }
     }
 
     @Override
-    public CompletableFuture<byte[]> published(
+    public CompletableFuture<byte[]> changesAfter(
             long afterRevision, long waitMillis, boolean compressed) {
         return mFeed.changesForNode(afterRevision, waitMillis)
                 .thenApply(page -> mCodec.encode(page, compressed));
@@ -339,11 +339,11 @@
     }
 
     /** The members as the targets registered. */
-    private final class Members implements SiteMembers {
+    private final class RegisteredMembers implements SiteMembers {
         private final Set<String> mLeavingIds;
         private final List<Peer> mPeers;
 
-        private Members(Set<String> leavingIds, List<Peer> peers) {
+        private RegisteredMembers(Set<String> leavingIds, List<Peer> peers) {
             mLeavingIds = leavingIds;
             mPeers = peers;
         }
@@ -359,7 +359,7 @@
         }
 
         @Override
-        public int nodes() {
+        public int nodeCount() {
             return mPeers.size() + 1;
         }
 
--- a/src/main/java/org/apricotgauge/node/EvidenceShare.java
+++ b/src/main/java/org/apricotgauge/node/EvidenceHeaders.java
@@ -19,7 +19,7 @@
  * The text is made anew at most every {@link #REFRESH_MILLIS}, not for each answer, and all texts
  * together take at most {@link #BYTES_PER_SECOND}.
  */
-final class EvidenceShare {
+final class EvidenceHeaders {
     /** How old the evidence on an answer may be. */
     static final long REFRESH_MILLIS = 50;
 
@@ -28,49 +28,49 @@
     static final int BYTES_PER_SECOND = 5_000;
 
     private final Ticker mTicker;
-    private final Function<Target, EvidenceDigest> mDigestOf;
-    private final ConcurrentMap<String, Cached> mCache = new ConcurrentHashMap<>();
+    private final Function<Target, EvidenceDigest> mDigestSource;
+    private final ConcurrentMap<String, CachedHeader> mCache = new ConcurrentHashMap<>();
 
-    private final TokenBucket mBytes;
+    private final TokenBucket mByteBudget;
 
-    private record Cached(String text, long atNanos) {}
+    private record CachedHeader(String text, long createdAtNanos) {}
 
     /**
      * Creates a share.
      *
      * @param digestOf the guard's own counts of one target
      */
-    EvidenceShare(Ticker ticker, Function<Target, EvidenceDigest> digestOf) {
+    EvidenceHeaders(Ticker ticker, Function<Target, EvidenceDigest> digestOf) {
         this(ticker, digestOf, BYTES_PER_SECOND);
     }
 
     /** As above; {@code bytesPerSecond} bounds all texts together. */
-    EvidenceShare(Ticker ticker, Function<Target, EvidenceDigest> digestOf, int bytesPerSecond) {
+    EvidenceHeaders(Ticker ticker, Function<Target, EvidenceDigest> digestOf, int bytesPerSecond) {
         mTicker = ticker;
-        mBytes = new TokenBucket(bytesPerSecond, bytesPerSecond, ticker.millis());
-        mDigestOf = digestOf;
+        mByteBudget = new TokenBucket(bytesPerSecond, bytesPerSecond, ticker.millis());
+        mDigestSource = digestOf;
     }
 
     void write(Target target, HttpFields.Mutable headers) {
         long nowNanos = mTicker.nanos();
-        Cached cached = mCache.get(target.id());
+        CachedHeader cached = mCache.get(target.id());
         boolean old =
                 cached == null
-                        || nowNanos - cached.atNanos()
+                        || nowNanos - cached.createdAtNanos()
                                 > TimeUnit.MILLISECONDS.toNanos(REFRESH_MILLIS);
         if (old) {
-            byte[] encoded = EvidenceCodec.encode(mDigestOf.apply(target));
-            cached = new Cached(EvidenceCodec.toHeader(encoded), nowNanos);
+            byte[] encoded = EvidenceCodec.encode(mDigestSource.apply(target));
+            cached = new CachedHeader(EvidenceCodec.toHeader(encoded), nowNanos);
             mCache.put(target.id(), cached);
         }
-        if (takeBytes(cached.text().length())) {
+        if (tryConsumeBytes(cached.text().length())) {
             headers.put(HeaderNames.EVIDENCE, cached.text());
         }
     }
 
-    private boolean takeBytes(int bytes) {
-        synchronized (mBytes) {
-            return mBytes.tryConsume(bytes, mTicker.millis());
+    private boolean tryConsumeBytes(int bytes) {
+        synchronized (mByteBudget) {
+            return mByteBudget.tryConsume(bytes, mTicker.millis());
         }
     }
 
--- a/src/main/java/org/apricotgauge/node/EvidencePublisher.java
+++ b/src/main/java/org/apricotgauge/node/EvidencePublisher.java
@@ -25,15 +25,15 @@
     private static final long LIFETIME_MILLIS = 60_000;
 
     /** Evidence goes on this long after a target came back, so that the last entry hears of it. */
-    private static final long AFTERMATH_MILLIS = 10_000;
+    private static final long AFTER_RECOVERY_MILLIS = 10_000;
 
     private final String mVm;
     private final RoutingState mState;
     private final DetectionService mDetection;
     private final Ticker mTicker;
-    private final Map<String, Long> mOutMillis = new HashMap<>();
-    private final Map<String, Long> mSpokenMillis = new HashMap<>();
-    private final Map<String, List<EvidenceDigest.TargetEvidence>> mSpoken = new HashMap<>();
+    private final Map<String, Long> mLastUnhealthyMillis = new HashMap<>();
+    private final Map<String, Long> mLastPublishedMillis = new HashMap<>();
+    private final Map<String, List<EvidenceDigest.TargetEvidence>> mLastPublished = new HashMap<>();
 
     /** Carries evidence to the fleet; see {@code ControlPlane.publishEvidence}. */
     @FunctionalInterface
@@ -50,17 +50,17 @@
     }
 
     /** Called after each decision, by one thread. */
-    void decided(String service, EjectionVerdicts verdicts, Channel channel) {
+    void onVerdicts(String service, EjectionVerdicts verdicts, Channel channel) {
         long nowMillis = mTicker.millis();
         List<EvidenceDigest> own = new ArrayList<>();
         for (EjectionVerdict verdict : verdicts.byTarget().values()) {
             Target target = mState.table().target(verdict.targetId());
             boolean ours = target != null && target.vm().equals(mVm);
-            if (ours && isOutOrWas(verdict, nowMillis)) {
+            if (ours && isUnhealthyOrJustRecovered(verdict, nowMillis)) {
                 own.add(mDetection.guardDigest(target));
             }
         }
-        Long spokenMillis = mSpokenMillis.get(service);
+        Long spokenMillis = mLastPublishedMillis.get(service);
         boolean tooSoon = spokenMillis != null && nowMillis - spokenMillis < INTERVAL_MILLIS;
         if (own.isEmpty() || tooSoon) {
             return;
@@ -68,24 +68,24 @@
         List<EvidenceDigest.TargetEvidence> targets = new ArrayList<>();
         own.forEach(digest -> targets.addAll(digest.targets()));
         // All nodes together may speak 512 bytes a second; nothing new is not worth saying.
-        if (targets.equals(mSpoken.put(service, targets))) {
+        if (targets.equals(mLastPublished.put(service, targets))) {
             return;
         }
-        mSpokenMillis.put(service, nowMillis);
+        mLastPublishedMillis.put(service, nowMillis);
         publish(service, own.get(own.size() - 1), targets, channel);
     }
 
-    private boolean isOutOrWas(EjectionVerdict verdict, long nowMillis) {
+    private boolean isUnhealthyOrJustRecovered(EjectionVerdict verdict, long nowMillis) {
         if (verdict.state() != VerdictState.HEALTHY) {
-            mOutMillis.put(verdict.targetId(), nowMillis);
+            mLastUnhealthyMillis.put(verdict.targetId(), nowMillis);
             return true;
         }
-        Long outMillis = mOutMillis.get(verdict.targetId());
+        Long outMillis = mLastUnhealthyMillis.get(verdict.targetId());
         if (outMillis == null) {
             return false;
         }
-        if (nowMillis - outMillis > AFTERMATH_MILLIS) {
-            mOutMillis.remove(verdict.targetId());
+        if (nowMillis - outMillis > AFTER_RECOVERY_MILLIS) {
+            mLastUnhealthyMillis.remove(verdict.targetId());
             return false;
         }
         return true;
--- a/src/main/java/org/apricotgauge/node/GossipControl.java
+++ b/src/main/java/org/apricotgauge/node/GossipControl.java
@@ -24,21 +24,22 @@
 /** The control plane of a fleet whose platform publishes patches in an ordered list. */
 final class GossipControl implements NodeControl {
     private static final String SITE = "site";
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_PAGE = {};
 
-    private final Parts mParts;
-    private final FleetRecorder mRecorder;
+    private final Dependencies mParts;
+    private final ControlEventRecorder mRecorder;
     private final PlatformClient mPlatform;
     private final ControlPlane<ConfigHistory> mPlane;
 
-    private GossipControl(Parts parts, URI platform, List<Address> seeds) throws IOException {
+    private GossipControl(Dependencies parts, URI platform, List<Address> seeds)
+            throws IOException {
         mParts = parts;
-        mRecorder = new FleetRecorder(parts.events());
+        mRecorder = new ControlEventRecorder(parts.events());
         mPlatform = HttpPlatformClient.open(platform);
         mPlane =
                 ControlPlane.start(
                         ControlSettings.of(SITE, parts.vm()).withSeeds(seeds),
-                        new ConfigHistoryFold(mRecorder::refused),
+                        new ConfigHistoryFold(mRecorder::recordRefusal),
                         mPlatform,
                         new FleetListener(),
                         parts.metrics());
@@ -50,7 +51,7 @@
     }
 
     @Override
-    public CompletableFuture<Void> opened() {
+    public CompletableFuture<Void> ready() {
         return mPlane.ready();
     }
 
@@ -71,7 +72,7 @@
 
     @Override
     public void tick() {
-        mRecorder.role(mPlane.watcherRole());
+        mRecorder.recordRole(mPlane.watcherRole());
     }
 
     @Override
@@ -90,7 +91,7 @@
     }
 
     @Override
-    public boolean isCurrent() {
+    public boolean isSiteViewFresh() {
         return true;
     }
 
@@ -100,23 +101,23 @@
     }
 
     @Override
-    public long beforeHop(HttpFields.Mutable headers) {
+    public long addHopHeaders(HttpFields.Mutable headers) {
         return 0;
     }
 
     @Override
-    public void hopArrived(HttpFields headers) {}
+    public void handleHopHeaders(HttpFields headers) {}
 
     @Override
-    public void beforeAcknowledgement(HttpFields.Mutable headers) {}
+    public void addAcknowledgementHeaders(HttpFields.Mutable headers) {}
 
     @Override
-    public void acknowledged(HttpFields headers, long askedMillis) {}
+    public void handleAcknowledgement(HttpFields headers, long askedMillis) {}
 
     @Override
-    public CompletableFuture<byte[]> published(
+    public CompletableFuture<byte[]> changesAfter(
             long afterRevision, long waitMillis, boolean compressed) {
-        return CompletableFuture.completedFuture(NOTHING);
+        return CompletableFuture.completedFuture(EMPTY_PAGE);
     }
 
     @Override
@@ -135,7 +136,7 @@
 
         @Override
         public void onView(VmView view) {
-            mRecorder.view(view);
+            mRecorder.recordView(view);
             mParts.listener().onMembers(SiteMembers.of(view, mParts.vm().id()));
         }
 
@@ -163,7 +164,7 @@
 
         @Override
         public void onFatalError(RuntimeException failure) {
-            mParts.listener().onBroken(failure);
+            mParts.listener().onFatalError(failure);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/node/HealthNews.java
+++ b/src/main/java/org/apricotgauge/node/HealthReportService.java
@@ -20,7 +20,7 @@
  * <p>A datagram that is lost is made up for by the next, or by the guard's refusal; nothing rests
  * on them but the choice of a target.
  */
-final class HealthNews implements AutoCloseable {
+final class HealthReportService implements AutoCloseable {
     private static final String TARGET = "target";
     private static final String HEALTH = "health";
     private static final String LOAD = "load";
@@ -31,7 +31,7 @@
     private final int mPortNumber;
     private final RoutingState mState;
     private final Ticker mTicker;
-    private final String mDomain;
+    private final String mFailureDomain;
     private final Map<String, HealthReportPolicy> mPolicies = new ConcurrentHashMap<>();
 
     /**
@@ -39,17 +39,17 @@
      *
      * @param target its id
      * @param health how likely it is to be sick, as text
-     * @param load requests running and waiting, in permille of its slots
+     * @param loadPermille requests running and waiting, in permille of its slots
      */
-    record Line(String target, String health, int load) {}
+    record HealthReport(String target, String health, int loadPermille) {}
 
-    private HealthNews(
+    private HealthReportService(
             DatagramPort port, int portNumber, RoutingState state, Ticker ticker, String domain) {
         mPort = port;
         mPortNumber = portNumber;
         mState = state;
         mTicker = ticker;
-        mDomain = domain;
+        mFailureDomain = domain;
     }
 
     /**
@@ -58,19 +58,20 @@
      * @param address own address; other nodes have the same port
      * @throws IOException if the port can't be had
      */
-    static HealthNews start(Address address, RoutingState state, Ticker ticker, String domain)
-            throws IOException {
+    static HealthReportService start(
+            Address address, RoutingState state, Ticker ticker, String domain) throws IOException {
         DatagramPort port = DatagramPort.open(address, "health news", ticker);
-        HealthNews news = new HealthNews(port, address.port(), state, ticker, domain);
-        port.listen((from, bytes, length) -> news.hear(decode(bytes, length)));
+        HealthReportService news =
+                new HealthReportService(port, address.port(), state, ticker, domain);
+        port.listen((from, bytes, length) -> news.handleReport(decode(bytes, length)));
         return news;
     }
 
     /** Notes that the node at the host sent a request for a target of this VM. */
-    void seen(Target target, String host) {
+    void recordUse(Target target, String host) {
         boolean near =
                 mState.table().configuration().targetsOn(host).stream()
-                        .anyMatch(one -> one.failureDomain().equals(mDomain));
+                        .anyMatch(one -> one.failureDomain().equals(mFailureDomain));
         HealthReportPolicy policy = policyOf(target);
         synchronized (policy) {
             policy.recordUse(host, near, mTicker.millis());
@@ -78,7 +79,7 @@
     }
 
     /** Tells whoever should know how a target of this VM is now. */
-    void tell(Target target, DegradationEstimate.Report health, int loadPermille) {
+    void sendReport(Target target, DegradationEstimate.Report health, int loadPermille) {
         HealthReportPolicy policy = policyOf(target);
         List<String> hosts;
         synchronized (policy) {
@@ -90,17 +91,17 @@
         if (hosts.isEmpty()) {
             return;
         }
-        byte[] bytes = encode(new Line(target.id(), health.toText(), loadPermille));
+        byte[] bytes = encode(new HealthReport(target.id(), health.toText(), loadPermille));
         hosts.forEach(host -> mPort.send(bytes, new Address(host, mPortNumber)));
     }
 
     // Written and read by hand: with 100 nodes, each hears some 50 lines a second.
-    static byte[] encode(Line line) {
+    static byte[] encode(HealthReport line) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packMapHeader(FIELDS);
             packer.packString(TARGET).packString(line.target());
             packer.packString(HEALTH).packString(line.health());
-            packer.packString(LOAD).packInt(line.load());
+            packer.packString(LOAD).packInt(line.loadPermille());
             return packer.toByteArray();
         } catch (IOException e) {
             throw new IllegalStateException("a line can always be written", e);
@@ -112,7 +113,7 @@
      *
      * @throws IOException if the datagram is malformed
      */
-    static Line decode(byte[] bytes, int length) throws IOException {
+    static HealthReport decode(byte[] bytes, int length) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
             String target = "";
             String health = "";
@@ -126,7 +127,7 @@
                     default -> unpacker.skipValue();
                 }
             }
-            return new Line(target, health, load);
+            return new HealthReport(target, health, load);
         } catch (MessagePackException e) {
             throw new IOException("not a line on a target's health", e);
         }
@@ -136,7 +137,7 @@
         return mPolicies.computeIfAbsent(target.id(), id -> new HealthReportPolicy());
     }
 
-    private void hear(Line line) {
+    private void handleReport(HealthReport line) {
         Target target = mState.table().target(line.target());
         if (target == null) {
             return;
@@ -149,7 +150,7 @@
                             DegradationEstimate.Report.parse(line.health())
                                     .map(told -> told.receivedAt(mTicker.millis()))
                                     .ifPresent(candidate.load()::reportDegradation);
-                            candidate.load().reportLoad(line.load(), mTicker.nanos());
+                            candidate.load().reportLoad(line.loadPermille(), mTicker.nanos());
                         });
     }
 
--- a/src/main/java/org/apricotgauge/node/Node.java
+++ b/src/main/java/org/apricotgauge/node/Node.java
@@ -45,9 +45,9 @@
  * }</pre>
  */
 public final class Node implements AutoCloseable {
-    private static final long DECIDE_EVERY_MILLIS = 100;
+    private static final long TICK_INTERVAL_MILLIS = 100;
     private static final long DRAIN_POLL_MILLIS = 20;
-    private static final int WINDOWS = 64;
+    private static final int WINDOW_COUNT = 64;
 
     /** Peers hear of a stop within this time; until then they still send, and are served. */
     static final long ANNOUNCE_MILLIS = 1_500;
@@ -58,25 +58,25 @@
     private final MetricRegistry mRegistry = new MetricRegistry();
     private final long mStartedMillis = System.currentTimeMillis();
     private final NodeEvents mEvents;
-    private final OutcomeWindows mWindows = new OutcomeWindows(mTicker, WINDOWS);
+    private final OutcomeWindows mWindows = new OutcomeWindows(mTicker, WINDOW_COUNT);
     private final NodeHttp mHttp;
     private final ScheduledExecutorService mWorker =
-            Executors.newSingleThreadScheduledExecutor(Node::workerThread);
+            Executors.newSingleThreadScheduledExecutor(Node::newWorkerThread);
     private final RoutingState mState;
     private final DetectionService mDetection;
     private final ProbeTokens mProbes;
     private final QuarantineService mQuarantine;
-    private final AllotmentService mAllotments;
+    private final RateLimitService mRateLimits;
     private final EvidencePublisher mPublisher;
     private final EntryHandler mEntry;
     private final GuardHandler mGuard;
     private final Server mCallerServer;
     private final Server mGuardServer;
     private final AdminServer mAdmin;
-    private final CompletableFuture<RuntimeException> mBroken = new CompletableFuture<>();
+    private final CompletableFuture<RuntimeException> mBrokenInvariant = new CompletableFuture<>();
     private volatile NodeControl mControl = new UnstartedControl();
-    private volatile Optional<HealthNews> mNews = Optional.empty();
-    private volatile DatagramPort mNodePort;
+    private volatile Optional<HealthReportService> mHealthReports = Optional.empty();
+    private volatile DatagramPort mDatagramPort;
     private volatile NodePhase mPhase = NodePhase.STARTING;
     private volatile boolean mDraining;
 
@@ -88,17 +88,17 @@
         mRegistry.gauge("clock.readings.refused", () -> mEvents::refusedReadings);
         mHttp = new NodeHttp(vm.id());
         mState = new RoutingState(vm.id(), vm.failureDomain(), mTicker);
-        mProbes = new ProbeTokens(mTicker, mState::nodes);
+        mProbes = new ProbeTokens(mTicker, mState::nodeCount);
         mQuarantine = new QuarantineService(vm.failureDomain(), mTicker, mEvents, mRegistry);
-        mAllotments =
-                new AllotmentService(mState, mTicker, mHttp, profile.limitTolerance(), mRegistry);
+        mRateLimits =
+                new RateLimitService(mState, mTicker, mHttp, profile.limitTolerance(), mRegistry);
         VerdictRecorder recorder = new VerdictRecorder(mEvents, mWindows);
         mDetection =
                 new DetectionService(
                         mState,
                         mTicker,
                         mStartedMillis,
-                        (service, before, after) -> decided(recorder, service, before, after),
+                        (service, before, after) -> onVerdicts(recorder, service, before, after),
                         mWorker);
         mPublisher = new EvidencePublisher(vm.id(), mState, mDetection, mTicker);
         NodeObserver observer =
@@ -109,13 +109,13 @@
                         mEvents,
                         mTicker,
                         () -> mControl,
-                        () -> mNews,
+                        () -> mHealthReports,
                         mQuarantine,
                         profile.evidenceBytesPerSecond());
         long incarnation = new SecureRandom().nextLong();
         KeyLimits.DEFAULT.requireCovers(AttemptLimits.DEFAULT);
-        mEntry = entry(observer, incarnation);
-        mGuard = guard(observer, incarnation);
+        mEntry = newEntry(observer, incarnation);
+        mGuard = newGuard(observer, incarnation);
         HttpServerFactory servers = mHttp.servers();
         mCallerServer = servers.create(vm.host(), vm.callerPort(), mEntry, mEntry::countBadRequest);
         mCallerServer.addBean(
@@ -130,7 +130,7 @@
                                 () -> status.read(mPhase, mControl.mark()),
                                 mEvents::read,
                                 mQuarantine,
-                                mAllotments,
+                                mRateLimits,
                                 mRegistry),
                         vm.host(),
                         vm.adminPort(),
@@ -138,29 +138,29 @@
                         mTicker);
     }
 
-    private EntryHandler entry(NodeObserver observer, long incarnation) {
+    private EntryHandler newEntry(NodeObserver observer, long incarnation) {
         return new EntryHandler(
                 mState::table,
                 () -> mPhase == NodePhase.STOPPING,
                 this::mayAct,
-                new GuardClient(mHttp.forwarding(), mHttp.fencing(), mTicker),
-                mHttp.targets(),
+                new GuardClient(mHttp.forwardingClient(), mHttp.fencingClient(), mTicker),
+                mHttp.targetClient(),
                 new AttemptIdGenerator(mProfile.vm().id(), incarnation),
                 mHttp.scheduler(),
                 mTicker,
                 observer,
-                mProbes::take,
+                mProbes::tryAcquire,
                 mQuarantine.table(),
-                mAllotments,
+                mRateLimits,
                 mProfile.entry(),
                 mRegistry);
     }
 
-    private GuardHandler guard(NodeObserver observer, long incarnation) {
+    private GuardHandler newGuard(NodeObserver observer, long incarnation) {
         return new GuardHandler(
                 mProfile.vm().id(),
                 mState::table,
-                mHttp.targets(),
+                mHttp.targetClient(),
                 new AttemptLedger(incarnation, AttemptLimits.DEFAULT),
                 mHttp.scheduler(),
                 mTicker,
@@ -171,11 +171,11 @@
                 mProfile.entry().guardRetryAllowance(),
                 mQuarantine.table(),
                 (revision, waitMillis, compressed) ->
-                        mControl.published(revision, waitMillis, compressed),
+                        mControl.changesAfter(revision, waitMillis, compressed),
                 mRegistry);
     }
 
-    private static Thread workerThread(Runnable work) {
+    private static Thread newWorkerThread(Runnable work) {
         Thread thread = new Thread(work, "node-worker");
         thread.setDaemon(true);
         return thread;
@@ -205,63 +205,65 @@
     }
 
     private void startParts() throws Exception {
-        requireFree(mProfile.vm().host(), mProfile.vm().callerPort());
+        requireFreePort(mProfile.vm().host(), mProfile.vm().callerPort());
         mEvents.record(new NodeStarted(mProfile.vm().failureDomain(), ProductVersion.text()));
         mHttp.start();
         mAdmin.start();
         mGuardServer.start();
-        if (mProfile.news() != null) {
-            mNews =
+        if (mProfile.healthReportAddress() != null) {
+            mHealthReports =
                     Optional.of(
-                            HealthNews.start(
-                                    mProfile.news(),
+                            HealthReportService.start(
+                                    mProfile.healthReportAddress(),
                                     mState,
                                     mTicker,
                                     mProfile.vm().failureDomain()));
         }
         mControl =
                 mControlFactory.start(
-                        new NodeControl.Parts(
+                        new NodeControl.Dependencies(
                                 ownVm(),
-                                mProfile.crashNews() == null ? 0 : mProfile.crashNews().port(),
+                                mProfile.crashMessageAddress() == null
+                                        ? 0
+                                        : mProfile.crashMessageAddress().port(),
                                 new ControlEvents(),
                                 mEvents,
                                 mRegistry,
                                 mWorker,
                                 mTicker,
-                                mHttp.fencing()));
-        startDatagrams();
-        if (mProfile.opensEarly()) {
+                                mHttp.fencingClient()));
+        openDatagramPort();
+        if (mProfile.listensEarly()) {
             openCallerPort();
         }
         mWorker.scheduleWithFixedDelay(
-                guarded(this::tick),
-                DECIDE_EVERY_MILLIS,
-                DECIDE_EVERY_MILLIS,
+                failFast(this::tick),
+                TICK_INTERVAL_MILLIS,
+                TICK_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
-        mControl.opened().thenRunAsync(this::open, mWorker);
+        mControl.ready().thenRunAsync(this::startServing, mWorker);
     }
 
-    private void startDatagrams() throws IOException {
-        Address own = crashNewsAddress();
+    private void openDatagramPort() throws IOException {
+        Address own = datagramAddress();
         DatagramPort port = DatagramPort.open(own, "node news", mTicker);
-        mNodePort = port;
-        mQuarantine.start(own, new CrashNews(port));
-        mAllotments.start(own, port);
-        port.listen(this::heard);
+        mDatagramPort = port;
+        mQuarantine.start(own, new CrashMessageTransport(port));
+        mRateLimits.start(own, port);
+        port.listen(this::onDatagram);
     }
 
-    private void heard(Address from, byte[] bytes, int length) throws IOException {
-        if (AllotmentCodec.isMessage(bytes, length)) {
-            mAllotments.received(from, AllotmentCodec.decode(bytes, length));
+    private void onDatagram(Address from, byte[] bytes, int length) throws IOException {
+        if (TokenMessageCodec.isTokenMessage(bytes, length)) {
+            mRateLimits.received(from, TokenMessageCodec.decode(bytes, length));
         } else {
-            mQuarantine.received(from, CrashNews.decode(bytes, length));
+            mQuarantine.received(from, CrashMessageTransport.decode(bytes, length));
         }
     }
 
-    private Address crashNewsAddress() {
-        return mProfile.crashNews() != null
-                ? mProfile.crashNews()
+    private Address datagramAddress() {
+        return mProfile.crashMessageAddress() != null
+                ? mProfile.crashMessageAddress()
                 : new Address(mProfile.vm().host(), mControl.peerPort());
     }
 
@@ -274,7 +276,7 @@
     // The caller port opens only once the configuration is known. Were it found in use only then,
     // the
     // node would have joined the fleet, and seem to have broken rather than be set up wrongly.
-    private static void requireFree(String host, int callerPort) throws IOException {
+    private static void requireFreePort(String host, int callerPort) throws IOException {
         try (ServerSocket probe = new ServerSocket()) {
             probe.setReuseAddress(true);
             probe.bind(new InetSocketAddress(host, callerPort));
@@ -300,41 +302,41 @@
         mCallerServer.start();
     }
 
-    private void open() {
+    private void startServing() {
         if (mPhase != NodePhase.STARTING) {
             return;
         }
         try {
-            if (!mProfile.opensEarly()) {
+            if (!mProfile.listensEarly()) {
                 openCallerPort();
             }
             mPhase = NodePhase.SERVING;
         } catch (Exception e) {
-            mBroken.complete(new IllegalStateException("caller port does not open", e));
+            mBrokenInvariant.complete(new IllegalStateException("caller port does not open", e));
         }
     }
 
     // A broken invariant means that this process no longer knows what it does; it must stop rather
     // than act on it. Without this an exception would only end one scheduled task, silently.
-    private Runnable guarded(Runnable work) {
+    private Runnable failFast(Runnable work) {
         return () -> {
             try {
                 work.run();
             } catch (RuntimeException e) {
-                mBroken.complete(e);
+                mBrokenInvariant.complete(e);
                 throw e;
             }
         };
     }
 
-    private void decided(
+    private void onVerdicts(
             VerdictRecorder recorder,
             String service,
             EjectionVerdicts before,
             EjectionVerdicts after) {
         recorder.record(service, before, after);
-        mProbes.due(service, after.probesDue());
-        mPublisher.decided(service, after, mControl::publishEvidence);
+        mProbes.offer(service, after.probesDue());
+        mPublisher.onVerdicts(service, after, mControl::publishEvidence);
     }
 
     private boolean mayAct() {
@@ -348,30 +350,31 @@
         @Override
         public void onConfiguration(
                 long version, Configuration configuration, NodeControl.Mark mark) {
-            mWorker.execute(guarded(() -> inForce(version, configuration, mark)));
+            mWorker.execute(failFast(() -> applyConfiguration(version, configuration, mark)));
         }
 
         @Override
         public void onMembers(SiteMembers members) {
-            mWorker.execute(guarded(() -> mState.membersChanged(members)));
+            mWorker.execute(failFast(() -> mState.membersChanged(members)));
             mQuarantine.membersChanged(members);
-            mAllotments.membersChanged(members);
+            mRateLimits.membersChanged(members);
         }
 
         @Override
         public void onEvidence(String vm, String service, byte[] payload) {
             EvidenceCodec.decode(payload)
-                    .ifPresent(digest -> mDetection.heard(vm, service, digest));
+                    .ifPresent(digest -> mDetection.mergeRemoteEvidence(vm, service, digest));
         }
 
         @Override
-        public void onBroken(RuntimeException failure) {
-            mBroken.complete(failure);
+        public void onFatalError(RuntimeException failure) {
+            mBrokenInvariant.complete(failure);
         }
     }
 
     // Targets that register themselves change the configuration within a version.
-    private void inForce(long version, Configuration configuration, NodeControl.Mark mark) {
+    private void applyConfiguration(
+            long version, Configuration configuration, NodeControl.Mark mark) {
         long before = mState.table().version();
         if (version < before || configuration == mState.table().configuration()) {
             return;
@@ -427,8 +430,8 @@
     /**
      * Returns a future that completes with the invariant that broke; the process must then stop.
      */
-    public CompletableFuture<RuntimeException> broken() {
-        return mBroken;
+    public CompletableFuture<RuntimeException> brokenInvariant() {
+        return mBrokenInvariant;
     }
 
     /**
@@ -440,21 +443,21 @@
             return;
         }
         mPhase = NodePhase.STOPPING;
-        stopPhase(StopPhase.ANNOUNCED);
+        recordStopPhase(StopPhase.ANNOUNCED);
         mControl.announceLeaving();
         long startMillis = mTicker.millis();
         long untilMillis = startMillis + mProfile.drainMillis();
-        awaitQuiet(Math.min(untilMillis, startMillis + mProfile.serveOnMillis()), false);
-        stopPhase(StopPhase.DRAINING);
+        awaitIdle(Math.min(untilMillis, startMillis + mProfile.announceMillis()), false);
+        recordStopPhase(StopPhase.DRAINING);
         mEntry.drain();
         mGuard.drain();
         mDraining = true;
-        boolean quiet = awaitQuiet(untilMillis, true);
-        stopPhase(quiet ? StopPhase.DRAINED : StopPhase.TIMED_OUT);
+        boolean quiet = awaitIdle(untilMillis, true);
+        recordStopPhase(quiet ? StopPhase.DRAINED : StopPhase.TIMED_OUT);
         close();
     }
 
-    private boolean awaitQuiet(long untilMillis, boolean endWhenQuiet) throws InterruptedException {
+    private boolean awaitIdle(long untilMillis, boolean endWhenQuiet) throws InterruptedException {
         while (mTicker.millis() < untilMillis) {
             if (endWhenQuiet && inFlight() == 0) {
                 return true;
@@ -468,12 +471,12 @@
         return mEntry.inFlight() + mGuard.inFlight();
     }
 
-    private void stopPhase(StopPhase phase) {
+    private void recordStopPhase(StopPhase phase) {
         mEvents.record(new StopPhaseEntered(phase, inFlight()));
     }
 
-    private void closeNodePort() {
-        DatagramPort port = mNodePort;
+    private void closeDatagramPort() {
+        DatagramPort port = mDatagramPort;
         if (port != null) {
             port.close();
         }
@@ -483,8 +486,8 @@
     public void close() {
         mPhase = NodePhase.STOPPING;
         NodeHttp.stop(mControl::close);
-        mNews.ifPresent(HealthNews::close);
-        closeNodePort();
+        mHealthReports.ifPresent(HealthReportService::close);
+        closeDatagramPort();
         mWorker.shutdownNow();
         NodeHttp.stop(mCallerServer::stop);
         NodeHttp.stop(mGuardServer::stop);
--- a/src/main/java/org/apricotgauge/node/NodeControl.java
+++ b/src/main/java/org/apricotgauge/node/NodeControl.java
@@ -20,7 +20,7 @@
 interface NodeControl extends AutoCloseable {
 
     /** Returns a future that completes once the node may open to callers. */
-    CompletableFuture<Void> opened();
+    CompletableFuture<Void> ready();
 
     /** Returns whether this process may act on what it knows; cheap enough for each request. */
     boolean mayAct();
@@ -44,29 +44,29 @@
      * Returns whether what is known of the site is young enough to send work to targets by it;
      * cheap enough for each request.
      */
-    boolean isCurrent();
+    boolean isSiteViewFresh();
 
     /** Returns what is known of the site, and since when; cheap enough for each request. */
     SiteView siteView();
 
     /**
      * Adds to a hop's head what the other node should know; returns a time to give to {@link
-     * #acknowledged}.
+     * #handleAcknowledgement}.
      */
-    long beforeHop(HttpFields.Mutable headers);
+    long addHopHeaders(HttpFields.Mutable headers);
 
     /** Takes what a hop's head tells. */
-    void hopArrived(HttpFields headers);
+    void handleHopHeaders(HttpFields headers);
 
     /** Adds to the acknowledgement of a request how old what this node knows is. */
-    void beforeAcknowledgement(HttpFields.Mutable headers);
+    void addAcknowledgementHeaders(HttpFields.Mutable headers);
 
     /**
      * Takes what the acknowledgement of a request tells.
      *
-     * @param askedMillis what {@link #beforeHop} returned for the request
+     * @param askedMillis what {@link #addHopHeaders} returned for the request
      */
-    void acknowledged(HttpFields headers, long askedMillis);
+    void handleAcknowledgement(HttpFields headers, long askedMillis);
 
     /**
      * Answers a peer that asks what is published; empty if that is not what this node reads.
@@ -75,7 +75,7 @@
      * @param waitMillis how long it waits for a change; 0 if it asks for a younger view
      * @param compressed whether it takes compressed values
      */
-    CompletableFuture<byte[]> published(long afterRevision, long waitMillis, boolean compressed);
+    CompletableFuture<byte[]> changesAfter(long afterRevision, long waitMillis, boolean compressed);
 
     @Override
     void close();
@@ -101,30 +101,30 @@
         void onEvidence(String vm, String service, byte[] payload);
 
         /** An invariant broke; the process must end. */
-        void onBroken(RuntimeException failure);
+        void onFatalError(RuntimeException failure);
     }
 
     /**
      * What a control is made of.
      *
      * @param vm the node's own VM, with the ports that it listens at
-     * @param crashNewsPort UDP port of every node for news of crashes; 0 if each has its own
+     * @param crashMessagePort UDP port of every node for news of crashes; 0 if each has its own
      * @param listener hears what is in force
      * @param events the node's events
      * @param metrics takes counters
      * @param worker the node's own thread
      * @param ticker time of intervals
-     * @param questions carries questions to other guards
+     * @param queryClient carries questions to other guards
      */
-    record Parts(
+    record Dependencies(
             Vm vm,
-            int crashNewsPort,
+            int crashMessagePort,
             Listener listener,
             NodeEvents events,
             MetricRegistry metrics,
             ScheduledExecutorService worker,
             Ticker ticker,
-            HttpClient questions) {}
+            HttpClient queryClient) {}
 
     /** Starts the control of a node. */
     @FunctionalInterface
@@ -134,6 +134,6 @@
          *
          * @throws IOException if it cannot listen or connect
          */
-        NodeControl start(Parts parts) throws IOException;
+        NodeControl start(Dependencies parts) throws IOException;
     }
 }
--- a/src/main/java/org/apricotgauge/node/NodeEvents.java
+++ b/src/main/java/org/apricotgauge/node/NodeEvents.java
@@ -46,7 +46,7 @@
     }
 
     /** Returns a reading to send with a message. */
-    String stamp() {
+    String clockHeader() {
         return mClock.now().toString();
     }
 
--- a/src/main/java/org/apricotgauge/node/NodeHttp.java
+++ b/src/main/java/org/apricotgauge/node/NodeHttp.java
@@ -16,42 +16,42 @@
     /** A SYN that was lost is sent again after 1 s; another guard is tried sooner. */
     private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
-    private static final long KEEP_IDLE_MILLIS = 30_000;
-    private static final int PER_GUARD = 256;
-    private static final int PER_TARGET = 64;
-    private static final int FENCES_PER_GUARD = 64;
-    private static final int QUEUED = 4_096;
+    private static final long IDLE_TIMEOUT_MILLIS = 30_000;
+    private static final int CONNECTIONS_PER_GUARD = 256;
+    private static final int CONNECTIONS_PER_TARGET = 64;
+    private static final int FENCING_CONNECTIONS_PER_GUARD = 64;
+    private static final int MAX_QUEUED_REQUESTS = 4_096;
 
     /** A stopped node has no work left; Jetty's own 5 s would outlast a platform's grace time. */
-    private static final long STOP_MILLIS = 200;
+    private static final long STOP_TIMEOUT_MILLIS = 200;
 
     private final QueuedThreadPool mThreads = new QueuedThreadPool(MAX_THREADS);
     private final ScheduledExecutorScheduler mScheduler =
             new ScheduledExecutorScheduler("node-timer", true);
-    private final HttpClient mForwarding;
-    private final HttpClient mFencing;
-    private final HttpClient mTargets;
+    private final HttpClient mForwardingClient;
+    private final HttpClient mFencingClient;
+    private final HttpClient mTargetClient;
 
     NodeHttp(String vm) {
         mThreads.setName("node-" + vm);
-        mThreads.setStopTimeout(STOP_MILLIS);
+        mThreads.setStopTimeout(STOP_TIMEOUT_MILLIS);
         HttpClientFactory clients = new HttpClientFactory(mThreads, mScheduler);
-        mForwarding = clients.create("forwarding", limits(PER_GUARD));
-        mFencing = clients.create("fencing", limits(FENCES_PER_GUARD));
-        mTargets = clients.create("targets", limits(PER_TARGET));
+        mForwardingClient = clients.create("forwarding", limits(CONNECTIONS_PER_GUARD));
+        mFencingClient = clients.create("fencing", limits(FENCING_CONNECTIONS_PER_GUARD));
+        mTargetClient = clients.create("targets", limits(CONNECTIONS_PER_TARGET));
     }
 
     private static HttpClientFactory.Limits limits(int connections) {
         return new HttpClientFactory.Limits(
-                CONNECT_TIMEOUT_MILLIS, KEEP_IDLE_MILLIS, connections, QUEUED);
+                CONNECT_TIMEOUT_MILLIS, IDLE_TIMEOUT_MILLIS, connections, MAX_QUEUED_REQUESTS);
     }
 
     void start() throws Exception {
         mThreads.start();
         mScheduler.start();
-        HttpClientFactory.start(mForwarding);
-        HttpClientFactory.start(mFencing);
-        HttpClientFactory.start(mTargets);
+        HttpClientFactory.start(mForwardingClient);
+        HttpClientFactory.start(mFencingClient);
+        HttpClientFactory.start(mTargetClient);
     }
 
     HttpServerFactory servers() {
@@ -68,24 +68,24 @@
     }
 
     /** Carries attempts to guards. */
-    HttpClient forwarding() {
-        return mForwarding;
+    HttpClient forwardingClient() {
+        return mForwardingClient;
     }
 
     /** Carries fences, each over a connection of its own. */
-    HttpClient fencing() {
-        return mFencing;
+    HttpClient fencingClient() {
+        return mFencingClient;
     }
 
     /** Reaches targets. */
-    HttpClient targets() {
-        return mTargets;
+    HttpClient targetClient() {
+        return mTargetClient;
     }
 
     void stop() {
-        stop(mForwarding::stop);
-        stop(mFencing::stop);
-        stop(mTargets::stop);
+        stop(mForwardingClient::stop);
+        stop(mFencingClient::stop);
+        stop(mTargetClient::stop);
         stop(mScheduler::stop);
         stop(mThreads::stop);
     }
--- a/src/main/java/org/apricotgauge/node/NodeMain.java
+++ b/src/main/java/org/apricotgauge/node/NodeMain.java
@@ -42,7 +42,7 @@
                         },
                         "node-drain");
         Runtime.getRuntime().addShutdownHook(drain);
-        node.broken()
+        node.brokenInvariant()
                 .thenAccept(
                         failure -> {
                             LOGGER.fatal("invariant broken", failure);
--- a/src/main/java/org/apricotgauge/node/NodeObserver.java
+++ b/src/main/java/org/apricotgauge/node/NodeObserver.java
@@ -31,15 +31,15 @@
 
     private final RoutingState mState;
     private final DetectionService mDetection;
-    private final EvidenceShare mShare;
+    private final EvidenceHeaders mEvidenceHeaders;
     private final OutcomeWindows mWindows;
     private final NodeEvents mEvents;
     private final Supplier<NodeControl> mControl;
-    private final Supplier<Optional<HealthNews>> mNews;
+    private final Supplier<Optional<HealthReportService>> mHealthReports;
     private final QuarantineService mQuarantine;
-    private final RecentRequests mLostCalls;
-    private final RecentRequests mRepeats;
-    private final RecentRequests mAtWork;
+    private final RecentRequests mFailedCalls;
+    private final RecentRequests mRetries;
+    private final RecentRequests mRunningRequests;
 
     NodeObserver(
             RoutingState state,
@@ -48,46 +48,47 @@
             NodeEvents events,
             Ticker ticker,
             Supplier<NodeControl> control,
-            Supplier<Optional<HealthNews>> news,
+            Supplier<Optional<HealthReportService>> news,
             QuarantineService quarantine,
             int evidenceBytesPerSecond) {
         mState = state;
-        mNews = news;
+        mHealthReports = news;
         mQuarantine = quarantine;
-        mLostCalls = new RecentRequests(ticker);
-        mRepeats = new RecentRequests(ticker);
-        mAtWork = new RecentRequests(ticker);
+        mFailedCalls = new RecentRequests(ticker);
+        mRetries = new RecentRequests(ticker);
+        mRunningRequests = new RecentRequests(ticker);
         mControl = control;
         mDetection = detection;
-        mShare = new EvidenceShare(ticker, detection::guardDigest, evidenceBytesPerSecond);
+        mEvidenceHeaders =
+                new EvidenceHeaders(ticker, detection::guardDigest, evidenceBytesPerSecond);
         mWindows = windows;
         mEvents = events;
     }
 
     @Override
     public void onAttemptEnded(Target target, ObservedOutcome outcome, long totalMicros) {
-        mDetection.observed(target, ObservationPoint.ENTRY, outcome, totalMicros);
+        mDetection.recordObservation(target, ObservationPoint.ENTRY, outcome, totalMicros);
     }
 
     @Override
     public void onOutcome(Target target, ObservedOutcome outcome, long serviceMicros) {
-        mDetection.observed(target, ObservationPoint.GUARD, outcome, serviceMicros);
+        mDetection.recordObservation(target, ObservationPoint.GUARD, outcome, serviceMicros);
     }
 
     @Override
     public void addAnswerHeaders(Target target, HttpFields.Mutable headers) {
-        mShare.write(target, headers);
+        mEvidenceHeaders.write(target, headers);
         addHopHeaders(headers);
     }
 
     @Override
     public void addAcknowledgementHeaders(HttpFields.Mutable headers) {
-        mControl.get().beforeAcknowledgement(headers);
+        mControl.get().addAcknowledgementHeaders(headers);
     }
 
     @Override
     public void onTargetLeaving(Target target) {
-        if (mState.saysItLeaves(target)) {
+        if (mState.recordSelfReportedLeaving(target)) {
             mEvents.record(new TargetLeaving(target.service(), target.id(), "target"));
         }
     }
@@ -100,12 +101,12 @@
 
     @Override
     public int nodeCount() {
-        return mState.nodes();
+        return mState.nodeCount();
     }
 
     @Override
     public boolean isSiteViewFresh() {
-        return mControl.get().isCurrent();
+        return mControl.get().isSiteViewFresh();
     }
 
     @Override
@@ -115,39 +116,42 @@
 
     @Override
     public long addHopHeaders(HttpFields.Mutable headers) {
-        headers.put(HeaderNames.CLOCK, mEvents.stamp());
-        return mControl.get().beforeHop(headers);
+        headers.put(HeaderNames.CLOCK, mEvents.clockHeader());
+        return mControl.get().addHopHeaders(headers);
     }
 
     @Override
     public long unresponsiveAfterMicros(Target target) {
-        return mDetection.overdueMicros(target);
+        return mDetection.unresponsiveAfterMicros(target);
     }
 
     @Override
     public void onAttemptArrived(Target target, String entryHost, HttpFields headers) {
-        mNews.get().ifPresent(news -> news.seen(target, entryHost));
+        mHealthReports.get().ifPresent(news -> news.recordUse(target, entryHost));
         mEvents.observe(headers);
-        mControl.get().hopArrived(headers);
+        mControl.get().handleHopHeaders(headers);
     }
 
     @Override
     public void onHealthObserved(
             Target target, DegradationEstimate.Report health, int loadPermille) {
-        mNews.get().ifPresent(news -> news.tell(target, health, loadPermille));
+        mHealthReports.get().ifPresent(news -> news.sendReport(target, health, loadPermille));
     }
 
     @Override
     public void onGuardAcknowledged(HttpFields headers, long askedMillis) {
-        mControl.get().acknowledged(headers, askedMillis);
+        mControl.get().handleAcknowledgement(headers, askedMillis);
     }
 
     @Override
     public void onGuardAnswered(Target target, HttpFields headers) {
         mEvents.observe(headers);
-        mControl.get().hopArrived(headers);
-        EvidenceShare.read(headers)
-                .ifPresent(digest -> mDetection.heard(target.vm(), target.service(), digest));
+        mControl.get().handleHopHeaders(headers);
+        EvidenceHeaders.read(headers)
+                .ifPresent(
+                        digest ->
+                                mDetection.mergeRemoteEvidence(
+                                        target.vm(), target.service(), digest));
     }
 
     @Override
@@ -174,37 +178,37 @@
 
     @Override
     public void onNestedCallFailed(String parentId) {
-        mLostCalls.add(parentId);
+        mFailedCalls.add(parentId);
     }
 
     @Override
     public void onRunStarted(String requestId) {
-        mAtWork.add(requestId);
+        mRunningRequests.add(requestId);
     }
 
     @Override
     public void onRunEnded(String requestId) {
-        mAtWork.remove(requestId);
+        mRunningRequests.remove(requestId);
     }
 
     @Override
     public boolean isRunning(String requestId) {
-        return mAtWork.contains(requestId);
+        return mRunningRequests.contains(requestId);
     }
 
     @Override
     public void onRetryStarted(String requestId) {
-        mRepeats.add(requestId);
+        mRetries.add(requestId);
     }
 
     @Override
     public boolean isRetry(String requestId) {
-        return mRepeats.contains(requestId);
+        return mRetries.contains(requestId);
     }
 
     @Override
     public boolean hasFailedCall(String requestId) {
-        return mLostCalls.contains(requestId);
+        return mFailedCalls.contains(requestId);
     }
 
     @Override
--- a/src/main/java/org/apricotgauge/node/NodeProfile.java
+++ b/src/main/java/org/apricotgauge/node/NodeProfile.java
@@ -12,12 +12,13 @@
  *
  * @param vm the node's own VM, with the ports that are set; 0 for any free one
  * @param drainMillis longest time that a stop takes
- * @param serveOnMillis how long a stopping node serves as before, until callers and peers know
+ * @param announceMillis how long a stopping node serves as before, until callers and peers know
  * @param maxCallerConnections callers' connections that the node accepts at once
  * @param readyPaths paths of the administration API that tell readiness, beside its own
- * @param opensEarly whether callers are let in before a configuration is known, and refused
- * @param news address at which the node hears of targets' health; null if nobody tells it
- * @param crashNews address at which the node hears of crashes; null for the peer port
+ * @param listensEarly whether callers are let in before a configuration is known, and refused
+ * @param healthReportAddress address at which the node hears of targets' health; null if nobody
+ *     tells it
+ * @param crashMessageAddress address at which the node hears of crashes; null for the peer port
  * @param evidenceBytesPerSecond most bytes of evidence that the node puts on its answers
  * @param limitTolerance what the operator tolerates beyond members' limits
  * @param entry what differs between sites on the way from callers
@@ -25,12 +26,12 @@
 record NodeProfile(
         Vm vm,
         long drainMillis,
-        long serveOnMillis,
+        long announceMillis,
         int maxCallerConnections,
         Set<String> readyPaths,
-        boolean opensEarly,
-        Address news,
-        Address crashNews,
+        boolean listensEarly,
+        Address healthReportAddress,
+        Address crashMessageAddress,
         int evidenceBytesPerSecond,
         FallbackQuota.Tolerance limitTolerance,
         EntryOptions entry) {
--- a/src/main/java/org/apricotgauge/node/NodeSettings.java
+++ b/src/main/java/org/apricotgauge/node/NodeSettings.java
@@ -128,7 +128,7 @@
                 false,
                 null,
                 null,
-                EvidenceShare.BYTES_PER_SECOND,
+                EvidenceHeaders.BYTES_PER_SECOND,
                 FallbackQuota.Tolerance.NONE,
                 EntryOptions.of(KeyLimits.DEFAULT));
     }
--- a/src/main/java/org/apricotgauge/node/PeerSource.java
+++ b/src/main/java/org/apricotgauge/node/PeerSource.java
@@ -20,10 +20,10 @@
 /** Another node as a source of what the platform published, asked over a new connection. */
 final class PeerSource implements PublishedSource {
     /** A peer in reach answers within milliseconds; one that does not is not worth waiting for. */
-    private static final long ANSWER_MILLIS = 700;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 700;
 
     /** All items of a site of a few hundred targets take well under this. */
-    private static final int MAX_BYTES = 4 << 20;
+    private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
     private final HttpClient mClient;
     private final PageCodec mCodec;
@@ -40,7 +40,7 @@
         var request =
                 mClient.newRequest(mGuard.host(), mGuard.port())
                         .path("/")
-                        .timeout(ANSWER_MILLIS + waitMillis, TimeUnit.MILLISECONDS)
+                        .timeout(RESPONSE_TIMEOUT_MILLIS + waitMillis, TimeUnit.MILLISECONDS)
                         .headers(
                                 headers -> {
                                     headers.put(HttpHeader.CONNECTION, "close");
@@ -50,10 +50,12 @@
                                     headers.put(HeaderNames.DIRECTORY_WAIT_MILLIS, waitMillis);
                                     headers.put(HeaderNames.DIRECTORY_COMPRESSED, "1");
                                 });
-        return new CompletableResponseListener(request, MAX_BYTES).send().thenApply(this::page);
+        return new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
+                .send()
+                .thenApply(this::decodePage);
     }
 
-    private PublishedPage page(ContentResponse answer) {
+    private PublishedPage decodePage(ContentResponse answer) {
         if (answer.getStatus() != HttpStatus.OK_200) {
             throw new CompletionException(
                     new IOException("peer answered with status " + answer.getStatus()));
--- a/src/main/java/org/apricotgauge/node/ProbeTokens.java
+++ b/src/main/java/org/apricotgauge/node/ProbeTokens.java
@@ -15,35 +15,35 @@
  */
 final class ProbeTokens {
     /** Pause for each node of the fleet; one try a second over all nodes. */
-    static final long PAUSE_PER_NODE_MILLIS = 1_000;
+    static final long INTERVAL_PER_NODE_MILLIS = 1_000;
 
     private final Ticker mTicker;
-    private final IntSupplier mNodes;
+    private final IntSupplier mNodeCount;
     private final ConcurrentMap<String, String> mTokens = new ConcurrentHashMap<>();
-    private final ConcurrentMap<String, Long> mGivenMillis = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, Long> mLastAcquiredMillis = new ConcurrentHashMap<>();
 
     ProbeTokens(Ticker ticker, IntSupplier nodes) {
         mTicker = ticker;
-        mNodes = nodes;
+        mNodeCount = nodes;
     }
 
     /** Notes that a target of the service is due to be tried. */
-    void due(String service, List<String> targets) {
+    void offer(String service, List<String> targets) {
         if (targets.isEmpty()) {
             return;
         }
-        long pauseMillis = PAUSE_PER_NODE_MILLIS * Math.max(1, mNodes.getAsInt());
-        Long givenMillis = mGivenMillis.get(service);
+        long pauseMillis = INTERVAL_PER_NODE_MILLIS * Math.max(1, mNodeCount.getAsInt());
+        Long givenMillis = mLastAcquiredMillis.get(service);
         if (givenMillis == null || mTicker.millis() - givenMillis >= pauseMillis) {
             mTokens.put(service, targets.get(0));
         }
     }
 
     /** Takes the right to try a target of the service, if there is one. */
-    Optional<String> take(String service) {
+    Optional<String> tryAcquire(String service) {
         String target = mTokens.remove(service);
         if (target != null) {
-            mGivenMillis.put(service, mTicker.millis());
+            mLastAcquiredMillis.put(service, mTicker.millis());
         }
         return Optional.ofNullable(target);
     }
--- a/src/main/java/org/apricotgauge/node/QuarantineService.java
+++ b/src/main/java/org/apricotgauge/node/QuarantineService.java
@@ -32,33 +32,33 @@
     private static final Logger LOGGER = Logger.getLogger(QuarantineService.class);
 
     /** Requests whose names are kept for operators. */
-    private static final int MAX_NAMES = 1_024;
+    private static final int MAX_REQUEST_NAMES = 1_024;
 
-    private static final long FULL_LOG_EVERY_MILLIS = 60_000;
+    private static final long FULL_LOG_INTERVAL_MILLIS = 60_000;
 
-    private static final int LINES_PER_SECOND = 10;
+    private static final int MAX_LOG_LINES_PER_SECOND = 10;
 
-    private static final Comparator<SiteMembers.Peer> ORDER =
+    private static final Comparator<SiteMembers.Peer> PEER_ORDER =
             Comparator.comparing(SiteMembers.Peer::failureDomain)
                     .thenComparing(peer -> peer.address().toString());
 
     /** Requests that one line names at most. */
-    private static final int MAX_LOST = 16;
+    private static final int MAX_LISTED_REQUESTS = 16;
 
     private final Ticker mTicker;
     private final NodeEvents mEvents;
     private final BoundedLog mLog;
     private final Counter mCrashes;
-    private final Cache<Fingerprint, String> mNames =
-            Caffeine.newBuilder().maximumSize(MAX_NAMES).executor(Runnable::run).build();
+    private final Cache<Fingerprint, String> mRequestNames =
+            Caffeine.newBuilder().maximumSize(MAX_REQUEST_NAMES).executor(Runnable::run).build();
     private final QuarantineTable mTable;
     private final CrashGossip mGossip;
-    private final String mDomain;
-    private Address mOwn;
+    private final String mFailureDomain;
+    private Address mOwnAddress;
     private List<SiteMembers.Peer> mKnownPeers = List.of();
     private volatile CrashGossip.Peers mPeers = CrashGossip.Peers.NONE;
-    private volatile CrashNews mNews;
-    private volatile long mFullLoggedMillis = Long.MIN_VALUE / 2;
+    private volatile CrashMessageTransport mTransport;
+    private volatile long mLastFullLogMillis = Long.MIN_VALUE / 2;
 
     /**
      * A request that a target took along when it ended.
@@ -67,9 +67,9 @@
      * @param fingerprint what makes the request the same as others
      * @param request method, host and path
      */
-    private record Lost(String id, String fingerprint, String request) {}
+    private record InterruptedRequest(String id, String fingerprint, String request) {}
 
-    private record Ended(String target, List<Lost> runs, long leftOut) {}
+    private record EndedTarget(String target, List<InterruptedRequest> runs, long leftOut) {}
 
     /**
      * Creates the service; it tells nobody until it is started.
@@ -77,22 +77,22 @@
      * @param domain the node's own failure domain
      */
     QuarantineService(String domain, Ticker ticker, NodeEvents events, MetricRegistry registry) {
-        mDomain = domain;
+        mFailureDomain = domain;
         mTicker = ticker;
         mEvents = events;
-        mLog = new BoundedLog(LOGGER, ticker, LINES_PER_SECOND);
+        mLog = new BoundedLog(LOGGER, ticker, MAX_LOG_LINES_PER_SECOND);
         mCrashes = registry.counter("quarantine.crashes");
-        mTable = new QuarantineTable(ticker, new Changes());
+        mTable = new QuarantineTable(ticker, new ChangeListener());
         mGossip = new CrashGossip(mTable, () -> mPeers, this::send, new SplittableRandom(), ticker);
         registry.gauge("quarantine.held", () -> mTable::quarantinedCount);
         registry.gauge("quarantine.known", () -> mTable::size);
     }
 
     /** Starts to tell and to hear; the port of the news is its owner's. */
-    synchronized void start(Address own, CrashNews news) {
-        mNews = news;
-        mOwn = own;
-        mPeers = peersOf(mKnownPeers, mDomain, own);
+    synchronized void start(Address own, CrashMessageTransport news) {
+        mTransport = news;
+        mOwnAddress = own;
+        mPeers = peersOf(mKnownPeers, mFailureDomain, own);
     }
 
     /** Takes a message of another node, on the port's thread. */
@@ -106,8 +106,8 @@
 
     synchronized void membersChanged(SiteMembers members) {
         mKnownPeers = members.peers();
-        if (mOwn != null) {
-            mPeers = peersOf(mKnownPeers, mDomain, mOwn);
+        if (mOwnAddress != null) {
+            mPeers = peersOf(mKnownPeers, mFailureDomain, mOwnAddress);
         }
     }
 
@@ -115,10 +115,10 @@
     static CrashGossip.Peers peersOf(List<SiteMembers.Peer> peers, String domain, Address own) {
         SiteMembers.Peer self = new SiteMembers.Peer(own, domain);
         List<SiteMembers.Peer> sorted = new ArrayList<>(peers);
-        sorted.sort(ORDER);
+        sorted.sort(PEER_ORDER);
         List<Address> after = new ArrayList<>(sorted.size());
-        sorted.stream().filter(peer -> ORDER.compare(peer, self) > 0).forEach(addTo(after));
-        sorted.stream().filter(peer -> ORDER.compare(peer, self) < 0).forEach(addTo(after));
+        sorted.stream().filter(peer -> PEER_ORDER.compare(peer, self) > 0).forEach(addTo(after));
+        sorted.stream().filter(peer -> PEER_ORDER.compare(peer, self) < 0).forEach(addTo(after));
         List<Address> near =
                 sorted.stream()
                         .filter(peer -> peer.failureDomain().equals(domain))
@@ -135,7 +135,7 @@
     void targetEnded(Target target, List<BrokenRun> runs) {
         mCrashes.inc();
         log(target, runs);
-        runs.forEach(run -> mNames.put(run.fingerprint(), run.request()));
+        runs.forEach(run -> mRequestNames.put(run.fingerprint(), run.request()));
         mTable.recordCrash(
                 runs.stream().map(BrokenRun::fingerprint).toList(),
                 ThreadLocalRandom.current().nextLong());
@@ -143,12 +143,17 @@
     }
 
     private void log(Target target, List<BrokenRun> runs) {
-        List<Lost> lost =
+        List<InterruptedRequest> lost =
                 runs.stream()
-                        .limit(MAX_LOST)
-                        .map(run -> new Lost(run.id(), run.fingerprint().toString(), run.request()))
+                        .limit(MAX_LISTED_REQUESTS)
+                        .map(
+                                run ->
+                                        new InterruptedRequest(
+                                                run.id(),
+                                                run.fingerprint().toString(),
+                                                run.request()))
                         .toList();
-        mLog.info("target ended", leftOut -> new Ended(target.id(), lost, leftOut));
+        mLog.info("target ended", leftOut -> new EndedTarget(target.id(), lost, leftOut));
     }
 
     /** Does what is due; called by one thread. */
@@ -158,7 +163,7 @@
     }
 
     private void send(Address to, CrashMessage message) {
-        CrashNews news = mNews;
+        CrashMessageTransport news = mTransport;
         if (news != null) {
             news.send(to, message);
         }
@@ -192,12 +197,12 @@
     }
 
     private String nameOf(Fingerprint fingerprint) {
-        String name = mNames.getIfPresent(fingerprint);
+        String name = mRequestNames.getIfPresent(fingerprint);
         return name == null ? "not seen at this node" : name;
     }
 
     /** Passes on, logs and counts what changes. */
-    private final class Changes implements QuarantineListener {
+    private final class ChangeListener implements QuarantineListener {
         @Override
         public void quarantined(Fingerprint fingerprint, int crashes, long heldMillis) {
             mEvents.record(
@@ -220,8 +225,8 @@
         @Override
         public void tableFull() {
             long nowMillis = mTicker.millis();
-            if (nowMillis - mFullLoggedMillis >= FULL_LOG_EVERY_MILLIS) {
-                mFullLoggedMillis = nowMillis;
+            if (nowMillis - mLastFullLogMillis >= FULL_LOG_INTERVAL_MILLIS) {
+                mLastFullLogMillis = nowMillis;
                 LOGGER.warn("no room for one more request that was at work in a crash");
             }
         }
--- a/src/main/java/org/apricotgauge/node/AllotmentService.java
+++ b/src/main/java/org/apricotgauge/node/RateLimitService.java
@@ -26,11 +26,11 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** Gives the {@link DistributedRateLimiter} its datagrams, its clock and its turns. */
-final class AllotmentService implements MemberRateLimiter, AdminSources.AllotmentSource {
-    private static final long EXPIRE_EVERY_MILLIS = 20;
+final class RateLimitService implements MemberRateLimiter, AdminSources.AllotmentSource {
+    private static final long EXPIRY_INTERVAL_MILLIS = 20;
 
     /** Members whose requests are counted for operators. */
-    private static final int MAX_COUNTED = 4_096;
+    private static final int MAX_COUNTED_MEMBERS = 4_096;
 
     private final RoutingState mState;
     private final Ticker mTicker;
@@ -42,12 +42,12 @@
     private final Counter mUnknown;
     private final Counter mMessages;
     private final Cache<String, Counts> mCounts =
-            Caffeine.newBuilder().maximumSize(MAX_COUNTED).executor(Runnable::run).build();
-    private List<Runnable> mDue = new ArrayList<>();
-    private List<Address> mOthers = List.of();
-    private Address mOwn;
-    private DistributedRateLimiter mDesk;
-    private boolean mIsExpiring;
+            Caffeine.newBuilder().maximumSize(MAX_COUNTED_MEMBERS).executor(Runnable::run).build();
+    private List<Runnable> mDueCallbacks = new ArrayList<>();
+    private List<Address> mOtherNodes = List.of();
+    private Address mOwnAddress;
+    private DistributedRateLimiter mLimiter;
+    private boolean mIsExpiryScheduled;
     private volatile DatagramPort mPort;
 
     /** What became of one member's requests at this node. */
@@ -57,7 +57,7 @@
         private final LongAdder mUnknown = new LongAdder();
     }
 
-    AllotmentService(
+    RateLimitService(
             RoutingState state,
             Ticker ticker,
             NodeHttp http,
@@ -76,11 +76,11 @@
 
     /** Starts to ask and to answer; the port is its owner's. */
     synchronized void start(Address own, DatagramPort port) {
-        mOwn = own;
+        mOwnAddress = own;
         mPort = port;
-        mDesk =
+        mLimiter =
                 new DistributedRateLimiter(
-                        MemberOwners.of(own, mOthers),
+                        MemberOwners.of(own, mOtherNodes),
                         this::send,
                         this::limitOf,
                         mTolerance,
@@ -89,12 +89,12 @@
 
     synchronized void membersChanged(SiteMembers members) {
         List<Address> others = members.peers().stream().map(SiteMembers.Peer::address).toList();
-        if (others.equals(mOthers)) {
+        if (others.equals(mOtherNodes)) {
             return;
         }
-        mOthers = others;
-        if (mDesk != null) {
-            mDesk.fleetChanged(MemberOwners.of(mOwn, others), mTicker.millis());
+        mOtherNodes = others;
+        if (mLimiter != null) {
+            mLimiter.fleetChanged(MemberOwners.of(mOwnAddress, others), mTicker.millis());
         }
     }
 
@@ -105,7 +105,7 @@
 
     private void send(Address to, TokenMessage message) {
         mMessages.inc();
-        byte[] bytes = AllotmentCodec.encode(message);
+        byte[] bytes = TokenMessageCodec.encode(message);
         mPort.send(bytes, to);
     }
 
@@ -122,7 +122,7 @@
                                 member.id(),
                                 member.limit(),
                                 mTicker.millis(),
-                                verdict -> mDue.add(() -> counted.accept(verdict))),
+                                verdict -> mDueCallbacks.add(() -> counted.accept(verdict))),
                 Runnable::run);
     }
 
@@ -157,11 +157,11 @@
                 counts.mGranted.sum(),
                 counts.mRefused.sum(),
                 counts.mUnknown.sum(),
-                homeOf(member));
+                ownerOf(member));
     }
 
-    private synchronized String homeOf(String member) {
-        return mDesk == null ? "" : mDesk.owner(member).toString();
+    private synchronized String ownerOf(String member) {
+        return mLimiter == null ? "" : mLimiter.owner(member).toString();
     }
 
     /** Takes a message of another node, on the port's thread. */
@@ -173,26 +173,26 @@
     private void take(Consumer<DistributedRateLimiter> work, Executor executor) {
         List<Runnable> due;
         synchronized (this) {
-            work.accept(mDesk);
-            due = mDue;
+            work.accept(mLimiter);
+            due = mDueCallbacks;
             if (!due.isEmpty()) {
-                mDue = new ArrayList<>();
+                mDueCallbacks = new ArrayList<>();
             }
-            expireWhileWaiting();
+            scheduleExpiry();
         }
         due.forEach(executor::execute);
     }
 
-    private void expireWhileWaiting() {
-        if (!mIsExpiring && mDesk.hasPendingRequests()) {
-            mIsExpiring = true;
-            mScheduler.schedule(this::expire, EXPIRE_EVERY_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleExpiry() {
+        if (!mIsExpiryScheduled && mLimiter.hasPendingRequests()) {
+            mIsExpiryScheduled = true;
+            mScheduler.schedule(this::expire, EXPIRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void expire() {
         synchronized (this) {
-            mIsExpiring = false;
+            mIsExpiryScheduled = false;
         }
         take(desk -> desk.expire(mTicker.millis()), mExecutor);
     }
--- a/src/main/java/org/apricotgauge/node/RecentRequests.java
+++ b/src/main/java/org/apricotgauge/node/RecentRequests.java
@@ -13,9 +13,9 @@
  */
 final class RecentRequests {
     /** A request ends within its deadline; the longest known is 20 s. */
-    private static final long KEPT_SECONDS = 20;
+    private static final long RETENTION_SECONDS = 20;
 
-    /** Far more than a VM's targets have slots for within {@link #KEPT_SECONDS}. */
+    /** Far more than a VM's targets have slots for within {@link #RETENTION_SECONDS}. */
     private static final int MAX_REQUESTS = 4_096;
 
     private final Cache<String, Boolean> mRequests;
@@ -24,7 +24,7 @@
         mRequests =
                 Caffeine.newBuilder()
                         .maximumSize(MAX_REQUESTS)
-                        .expireAfterWrite(KEPT_SECONDS, TimeUnit.SECONDS)
+                        .expireAfterWrite(RETENTION_SECONDS, TimeUnit.SECONDS)
                         .ticker(ticker::nanos)
                         .executor(Runnable::run)
                         .build();
--- a/src/main/java/org/apricotgauge/node/RoutingState.java
+++ b/src/main/java/org/apricotgauge/node/RoutingState.java
@@ -33,21 +33,21 @@
  */
 final class RoutingState {
     /** Runs of targets that are remembered to leave; those before them are long gone. */
-    private static final int MOST_LEAVING = 4_096;
+    private static final int MAX_SELF_REPORTED = 4_096;
 
     private final AtomicReference<RoutingTable> mTable = new AtomicReference<>(RoutingTable.EMPTY);
     private final RoutingTableFactory mFactory;
     private final Ticker mTicker;
-    private final RoutingTableFactory.TargetStateSource mView;
+    private final RoutingTableFactory.TargetStateSource mTargetStates;
     private final Map<String, EjectionVerdicts> mVerdicts = new HashMap<>();
-    private final Set<String> mSaidTheyLeave = ConcurrentHashMap.newKeySet();
-    private final Deque<String> mSaidInOrder = new ArrayDeque<>();
+    private final Set<String> mSelfReportedLeaving = ConcurrentHashMap.newKeySet();
+    private final Deque<String> mSelfReportedOrder = new ArrayDeque<>();
     private volatile SiteMembers mMembers = SiteMembers.of(VmView.EMPTY, "");
 
     RoutingState(String vm, String failureDomain, Ticker ticker) {
         mFactory = new RoutingTableFactory(vm, failureDomain);
         mTicker = ticker;
-        mView =
+        mTargetStates =
                 new RoutingTableFactory.TargetStateSource(
                         this::guardOf, this::isLeaving, this::weightOf);
     }
@@ -58,7 +58,9 @@
     }
 
     synchronized void configurationChanged(long version, Configuration configuration) {
-        mTable.set(mFactory.create(mTable.get(), version, configuration, mView, mTicker.nanos()));
+        mTable.set(
+                mFactory.create(
+                        mTable.get(), version, configuration, mTargetStates, mTicker.nanos()));
     }
 
     /** Takes what is known of the members and builds anew the services that it changes. */
@@ -88,20 +90,20 @@
      * Notes that a target itself said that it leaves, for as long as its run lasts and whatever the
      * members say; returns whether that is news.
      */
-    boolean saysItLeaves(Target target) {
-        if (mSaidTheyLeave.contains(target.id())) {
+    boolean recordSelfReportedLeaving(Target target) {
+        if (mSelfReportedLeaving.contains(target.id())) {
             return false;
         }
         return addLeaving(target);
     }
 
     private synchronized boolean addLeaving(Target target) {
-        if (!mSaidTheyLeave.add(target.id())) {
+        if (!mSelfReportedLeaving.add(target.id())) {
             return false;
         }
-        mSaidInOrder.add(target.id());
-        if (mSaidInOrder.size() > MOST_LEAVING) {
-            mSaidTheyLeave.remove(mSaidInOrder.remove());
+        mSelfReportedOrder.add(target.id());
+        if (mSelfReportedOrder.size() > MAX_SELF_REPORTED) {
+            mSelfReportedLeaving.remove(mSelfReportedOrder.remove());
         }
         refresh(target.service());
         return true;
@@ -109,16 +111,16 @@
 
     /** Returns whether a target must get no new work, by its word or by membership. */
     boolean isLeaving(Target target) {
-        return mSaidTheyLeave.contains(target.id()) || mMembers.isLeaving(target);
+        return mSelfReportedLeaving.contains(target.id()) || mMembers.isLeaving(target);
     }
 
     /** Returns how many nodes there are. */
-    int nodes() {
-        return mMembers.nodes();
+    int nodeCount() {
+        return mMembers.nodeCount();
     }
 
     private void refresh(String service) {
-        mTable.set(mFactory.refresh(mTable.get(), service, mView, mTicker.nanos()));
+        mTable.set(mFactory.refresh(mTable.get(), service, mTargetStates, mTicker.nanos()));
     }
 
     private Address guardOf(Target target) {
--- a/src/main/java/org/apricotgauge/node/SidecarSettings.java
+++ b/src/main/java/org/apricotgauge/node/SidecarSettings.java
@@ -34,8 +34,8 @@
  * @param guard address for other nodes' requests; the same port on every VM
  * @param admin address of the administration API
  * @param platform address of the platform's store
- * @param news address for datagrams on targets' health; the same port on every VM
- * @param crashNews address for datagrams on crashes of targets; the same port on every VM
+ * @param healthReportAddress address for datagrams on targets' health; the same port on every VM
+ * @param crashMessageAddress address for datagrams on crashes of targets; the same port on every VM
  * @param floorShare least share of healthy capacity that ejections may leave
  * @param retryRatio most retries of the fleet for each request
  * @param retryBurst retries that the whole fleet may make in a window beside its ratio
@@ -54,8 +54,8 @@
         Address guard,
         Address admin,
         Address platform,
-        Address news,
-        Address crashNews,
+        Address healthReportAddress,
+        Address crashMessageAddress,
         double floorShare,
         double retryRatio,
         double retryBurst,
@@ -79,16 +79,16 @@
      * How long a stopping node serves as before, in milliseconds: the platform asks for readiness
      * once a second and sends callers elsewhere after two misses; half a second is for the last.
      */
-    private static final long SERVE_ON_MILLIS = 2_700;
+    private static final long ANNOUNCE_MILLIS = 2_700;
 
     /**
      * Part of the allowed ratio that nodes use; the rest is for requests that are counted here but
      * never came to be counted by the platform, as those of callers that gave up on their way.
      */
-    private static final double RATIO_PART = 0.8;
+    private static final double USED_RATIO_SHARE = 0.8;
 
     /** Part of the retries beside the ratio; the rest is for calls that a repeated run makes. */
-    private static final double EXTRA_PART = 0.85;
+    private static final double USED_BURST_SHARE = 0.85;
 
     /** A false ejection costs what 300 s of work at a sick target cost; see the design's page. */
     private static final DetectionOdds ODDS = new DetectionOdds(300, 1);
@@ -106,7 +106,7 @@
      * measured (279 of 2,485) went to a suspect target for want of tries, and failed. Ten try each
      * target of a service of today.
      */
-    private static final RetryPolicy REPEATS = new RetryPolicy(10, 20);
+    private static final RetryPolicy RETRY_POLICY = new RetryPolicy(10, 20);
 
     private static final Setting<String> FAILURE_DOMAIN =
             Setting.required(
@@ -129,12 +129,12 @@
     private static final Setting<Address> PLATFORM =
             Setting.required(
                     "store-address", SettingKinds.address(), "Address of the platform's store.");
-    private static final Setting<Address> NEWS =
+    private static final Setting<Address> HEALTH_REPORTS =
             Setting.required(
                     "news-address",
                     SettingKinds.address(),
                     "Address for datagrams on targets' health; the same port on every VM.");
-    private static final Setting<Address> CRASH_NEWS =
+    private static final Setting<Address> CRASH_MESSAGES =
             Setting.required(
                     "crash-news-address",
                     SettingKinds.address(),
@@ -188,7 +188,7 @@
                     orDefault(SettingKinds.decimal("seconds", 0.1, 3_600), 1.0),
                     1.0,
                     "Length of the windows in which members' requests are counted.");
-    private static final Setting<Double> LIMIT_OVER =
+    private static final Setting<Double> LIMIT_OVER_SHARE =
             Setting.withDefault(
                     "limit-over-share",
                     orDefault(SettingKinds.decimal("share", 0, 10), 0.0),
@@ -209,8 +209,8 @@
         Checks.notNull("guard", guard);
         Checks.notNull("admin", admin);
         Checks.notNull("platform", platform);
-        Checks.notNull("news", news);
-        Checks.notNull("crashNews", crashNews);
+        Checks.notNull("news", healthReportAddress);
+        Checks.notNull("crashNews", crashMessageAddress);
         Checks.notNull("limitTolerance", limitTolerance);
         Checks.notNull("log", log);
     }
@@ -235,10 +235,10 @@
     private static List<Setting<?>> declared() {
         List<Setting<?>> settings = new ArrayList<>();
         settings.addAll(List.of(FAILURE_DOMAIN, SERVICE, CALLERS, GUARD, ADMIN, PLATFORM));
-        settings.addAll(List.of(NEWS, CRASH_NEWS));
+        settings.addAll(List.of(HEALTH_REPORTS, CRASH_MESSAGES));
         settings.addAll(List.of(FLOOR, RETRY_RATIO, RETRY_BURST, RETRY_WINDOW));
         settings.addAll(List.of(SERVES_ON, HEARTBEAT, STOP));
-        settings.addAll(List.of(LIMIT_WINDOW, LIMIT_OVER, LIMIT_SLACK));
+        settings.addAll(List.of(LIMIT_WINDOW, LIMIT_OVER_SHARE, LIMIT_SLACK));
         settings.addAll(LogSettings.declared());
         return List.copyOf(settings);
     }
@@ -251,8 +251,8 @@
                 values.get(GUARD),
                 values.get(ADMIN),
                 values.get(PLATFORM),
-                values.get(NEWS),
-                values.get(CRASH_NEWS),
+                values.get(HEALTH_REPORTS),
+                values.get(CRASH_MESSAGES),
                 values.get(FLOOR),
                 values.get(RETRY_RATIO),
                 values.get(RETRY_BURST),
@@ -261,7 +261,9 @@
                 values.get(HEARTBEAT),
                 values.get(STOP),
                 new FallbackQuota.Tolerance(
-                        values.get(LIMIT_WINDOW), values.get(LIMIT_OVER), values.get(LIMIT_SLACK)),
+                        values.get(LIMIT_WINDOW),
+                        values.get(LIMIT_OVER_SHARE),
+                        values.get(LIMIT_SLACK)),
                 LogSettings.of(values));
     }
 
@@ -278,26 +280,26 @@
                         0,
                         admin.port()),
                 stopMillis,
-                Math.min(SERVE_ON_MILLIS, stopMillis / 2),
+                Math.min(ANNOUNCE_MILLIS, stopMillis / 2),
                 CALLER_CONNECTIONS,
                 Set.of(readyPath),
                 true,
-                news,
-                crashNews,
+                healthReportAddress,
+                crashMessageAddress,
                 EVIDENCE_BYTES_PER_SECOND,
                 limitTolerance,
                 new EntryOptions(
                         dialect,
                         EntryOptions.TargetAccess.GUARDS_ONLY,
-                        REPEATS,
+                        RETRY_POLICY,
                         KeyLimits.DEFAULT,
                         RetryAllowancePolicy.UNBOUNDED,
-                        retryPool()));
+                        guardRetryAllowance()));
     }
 
     /** Returns the node's part of the retries that the whole fleet may make. */
-    private RetryAllowancePolicy retryPool() {
-        return RetryAllowancePolicy.ofFleet(retryBurst * EXTRA_PART, retryWindowSeconds);
+    private RetryAllowancePolicy guardRetryAllowance() {
+        return RetryAllowancePolicy.ofFleet(retryBurst * USED_BURST_SHARE, retryWindowSeconds);
     }
 
     /** Returns the times by which the platform lets targets leave. */
@@ -310,6 +312,6 @@
         return new SiteDefaults(
                 (int) Math.ceil(floorShare * ALL_PERCENT),
                 ODDS,
-                (int) Math.floor(retryRatio * RATIO_PART * ALL_PERCENT));
+                (int) Math.floor(retryRatio * USED_RATIO_SHARE * ALL_PERCENT));
     }
 }
--- a/src/main/java/org/apricotgauge/node/SidecarTraining.java
+++ b/src/main/java/org/apricotgauge/node/SidecarTraining.java
@@ -26,8 +26,8 @@
     private static final String LOOPBACK = "127.0.0.1";
     private static final String SERVICE = "desk";
     private static final int CALLS = 50;
-    private static final long PATIENCE_SECONDS = 60;
-    private static final long PAUSE_MILLIS = 50;
+    private static final long TIMEOUT_SECONDS = 60;
+    private static final long RETRY_DELAY_MILLIS = 50;
     private static final HttpClientFactory.Limits LIMITS =
             new HttpClientFactory.Limits(1_000, 10_000, 2, 16);
 
@@ -70,7 +70,7 @@
             threads.start();
             timers.start();
             HttpClientFactory.start(client);
-            long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+            long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
             int served = 0;
             while (served < CALLS && System.nanoTime() < untilNanos) {
                 served += isServed(client, callerPort) ? 1 : 0;
@@ -94,7 +94,7 @@
             }
         } catch (Exception e) {
             // The caller port opens a moment after the process starts.
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(PAUSE_MILLIS));
+            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS));
         }
         return false;
     }
--- a/src/main/java/org/apricotgauge/node/SiteMembers.java
+++ b/src/main/java/org/apricotgauge/node/SiteMembers.java
@@ -16,7 +16,7 @@
     boolean isLeaving(Target target);
 
     /** Returns how many nodes there are. */
-    int nodes();
+    int nodeCount();
 
     /** Returns the other nodes, at which datagrams are heard. */
     List<Peer> peers();
@@ -44,7 +44,7 @@
             }
 
             @Override
-            public int nodes() {
+            public int nodeCount() {
                 return view.nodes().size();
             }
 
--- a/src/main/java/org/apricotgauge/node/AllotmentCodec.java
+++ b/src/main/java/org/apricotgauge/node/TokenMessageCodec.java
@@ -15,33 +15,33 @@
  *
  * <p>Written and read by hand: there are two for each request of a member with a limit.
  */
-final class AllotmentCodec {
+final class TokenMessageCodec {
     private static final String ID = "id";
     private static final String MEMBER = "member";
     private static final String COUNT = "count";
     private static final String FINAL = "final";
     private static final String GRANTED = "granted";
     private static final String RETRY_AFTER = "retryAfter";
-    private static final int ASK_FIELDS = 4;
-    private static final int REPLY_FIELDS = 3;
+    private static final int REQUEST_FIELDS = 4;
+    private static final int RESPONSE_FIELDS = 3;
 
-    private AllotmentCodec() {}
+    private TokenMessageCodec() {}
 
     /** Returns whether a datagram may be such a message. */
-    static boolean isMessage(byte[] bytes, int length) {
+    static boolean isTokenMessage(byte[] bytes, int length) {
         return length > 0 && MessageFormat.valueOf(bytes[0]).getValueType() == ValueType.MAP;
     }
 
     static byte[] encode(TokenMessage message) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             if (message instanceof TokenMessage.Request ask) {
-                packer.packMapHeader(ASK_FIELDS);
+                packer.packMapHeader(REQUEST_FIELDS);
                 packer.packString(ID).packLong(ask.id());
                 packer.packString(MEMBER).packString(ask.member());
                 packer.packString(COUNT).packInt(ask.count());
                 packer.packString(FINAL).packBoolean(ask.isFinal());
             } else if (message instanceof TokenMessage.Response reply) {
-                packer.packMapHeader(REPLY_FIELDS);
+                packer.packMapHeader(RESPONSE_FIELDS);
                 packer.packString(ID).packLong(reply.id());
                 packer.packString(GRANTED).packInt(reply.grant().granted());
                 packer.packString(RETRY_AFTER).packLong(reply.grant().retryAfterMillis());
--- a/src/main/java/org/apricotgauge/node/UnstartedControl.java
+++ b/src/main/java/org/apricotgauge/node/UnstartedControl.java
@@ -6,10 +6,10 @@
 
 /** Stands for a node's control until it is started: nothing is known, and nothing may be done. */
 final class UnstartedControl implements NodeControl {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_PAGE = {};
 
     @Override
-    public CompletableFuture<Void> opened() {
+    public CompletableFuture<Void> ready() {
         return new CompletableFuture<>();
     }
 
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public boolean isCurrent() {
+    public boolean isSiteViewFresh() {
         return true;
     }
 
@@ -48,23 +48,23 @@
     }
 
     @Override
-    public long beforeHop(HttpFields.Mutable headers) {
+    public long addHopHeaders(HttpFields.Mutable headers) {
         return 0;
     }
 
     @Override
-    public void hopArrived(HttpFields headers) {}
+    public void handleHopHeaders(HttpFields headers) {}
 
     @Override
-    public void beforeAcknowledgement(HttpFields.Mutable headers) {}
+    public void addAcknowledgementHeaders(HttpFields.Mutable headers) {}
 
     @Override
-    public void acknowledged(HttpFields headers, long askedMillis) {}
+    public void handleAcknowledgement(HttpFields headers, long askedMillis) {}
 
     @Override
-    public CompletableFuture<byte[]> published(
+    public CompletableFuture<byte[]> changesAfter(
             long afterRevision, long waitMillis, boolean compressed) {
-        return CompletableFuture.completedFuture(NOTHING);
+        return CompletableFuture.completedFuture(EMPTY_PAGE);
     }
 
     @Override
--- a/src/test/java/org/apricotgauge/node/FleetRecorderTest.java
+++ b/src/test/java/org/apricotgauge/node/ControlEventRecorderTest.java
@@ -17,18 +17,18 @@
 import org.apricotgauge.platform.LogRecord;
 import org.junit.jupiter.api.Test;
 
-class FleetRecorderTest {
+class ControlEventRecorderTest {
     private final EventRing mRing =
             new EventRing("vm-1", 1, 64, new HybridClock(() -> Instant.ofEpochMilli(1)));
-    private final FleetRecorder mRecorder = new FleetRecorder(mRing);
+    private final ControlEventRecorder mRecorder = new ControlEventRecorder(mRing);
 
     @Test
-    void eachChangeOfTheWatchIsRecordedOnce() {
-        mRecorder.role(WatcherElection.Role.PASSIVE);
-        mRecorder.role(WatcherElection.Role.WATCH);
-        mRecorder.role(WatcherElection.Role.WATCH);
-        mRecorder.role(WatcherElection.Role.RETRY);
-        mRecorder.role(WatcherElection.Role.PASSIVE);
+    void recordsEachWatchChangeOnce() {
+        mRecorder.recordRole(WatcherElection.Role.PASSIVE);
+        mRecorder.recordRole(WatcherElection.Role.WATCH);
+        mRecorder.recordRole(WatcherElection.Role.WATCH);
+        mRecorder.recordRole(WatcherElection.Role.RETRY);
+        mRecorder.recordRole(WatcherElection.Role.PASSIVE);
 
         assertThat(bodies())
                 .containsExactly(
@@ -37,10 +37,10 @@
     }
 
     @Test
-    void refusedEntryIsRecordedWithItsVersionAndReason() {
+    void recordsRefusedEntryWithVersionAndReason() {
         String body = "{\"baseVersion\":5,\"rulesVersion\":1,\"operations\":[]}";
 
-        new ConfigHistoryFold(mRecorder::refused)
+        new ConfigHistoryFold(mRecorder::recordRefusal)
                 .apply(ConfigHistory.EMPTY, new LogRecord(1, body));
 
         assertThat(bodies())
--- a/src/test/java/org/apricotgauge/node/CrashNewsTest.java
+++ b/src/test/java/org/apricotgauge/node/CrashMessageTransportTest.java
@@ -17,30 +17,32 @@
 import org.apricotgauge.time.Ticker;
 import org.junit.jupiter.api.Test;
 
-class CrashNewsTest {
+class CrashMessageTransportTest {
     private static final String LOOPBACK = "127.0.0.1";
 
     /** What an Ethernet frame holds besides the headers of IP and UDP. */
     private static final int DATAGRAM_BYTES = 1_472;
 
     @Test
-    void theLargestMessageFitsADatagramAndComesBackAsItWas() throws Exception {
+    void largestMessageFitsOneDatagramAndRoundTrips() throws Exception {
         CrashMessage message = largest();
-        byte[] bytes = CrashNews.encode(message);
+        byte[] bytes = CrashMessageTransport.encode(message);
 
         assertThat(bytes.length).isLessThanOrEqualTo(DATAGRAM_BYTES);
-        assertThat(CrashNews.decode(bytes, bytes.length)).isEqualTo(message);
+        assertThat(CrashMessageTransport.decode(bytes, bytes.length)).isEqualTo(message);
     }
 
     @Test
     @SuppressWarnings("try")
-    void aMessageGoesFromNodeToNode() throws Exception {
+    void sendsMessageBetweenNodes() throws Exception {
         Address to = freeAddress();
         CompletableFuture<CrashMessage> heard = new CompletableFuture<>();
-        try (CrashNews receiver =
-                        CrashNews.start(to, Ticker.system(), (from, told) -> heard.complete(told));
-                CrashNews sender =
-                        CrashNews.start(freeAddress(), Ticker.system(), (from, told) -> {})) {
+        try (CrashMessageTransport receiver =
+                        CrashMessageTransport.start(
+                                to, Ticker.system(), (from, told) -> heard.complete(told));
+                CrashMessageTransport sender =
+                        CrashMessageTransport.start(
+                                freeAddress(), Ticker.system(), (from, told) -> {})) {
             sender.send(to, largest());
 
             assertThat(heard.get(10, TimeUnit.SECONDS)).isEqualTo(largest());
@@ -50,15 +52,16 @@
     // Guards against a node that stops to listen under what somebody else sends it.
     @Test
     @SuppressWarnings("try")
-    void garbageIsPassedOver() throws Exception {
+    void ignoresMalformedDatagrams() throws Exception {
         Address to = freeAddress();
         CompletableFuture<CrashMessage> heard = new CompletableFuture<>();
-        byte[] whole = CrashNews.encode(largest());
+        byte[] whole = CrashMessageTransport.encode(largest());
         byte[] nil = {(byte) 0xC0};
-        byte[] badKind = CrashNews.encode(new CrashMessage(CrashMessage.Kind.ASK, 1, List.of()));
+        byte[] badKind =
+                CrashMessageTransport.encode(new CrashMessage(CrashMessage.Kind.ASK, 1, List.of()));
         badKind[2] = 'X';
-        try (CrashNews receiver =
-                        CrashNews.start(
+        try (CrashMessageTransport receiver =
+                        CrashMessageTransport.start(
                                 to,
                                 Ticker.system(),
                                 (from, told) ->
@@ -82,7 +85,7 @@
 
     // Guards against nodes that none asks: each stands once in the order of every other.
     @Test
-    void allNodesShareOneOrder() {
+    void allNodesShareOnePeerOrder() {
         List<SiteMembers.Peer> nodes =
                 List.of(peer("c", 3), peer("a", 2), peer("b", 9), peer("a", 1));
 
--- a/src/test/java/org/apricotgauge/node/DirectoryControlTest.java
+++ b/src/test/java/org/apricotgauge/node/DirectoryControlTest.java
@@ -33,7 +33,7 @@
     private final List<CompletableFuture<PublishedPage>> mReads = new ArrayList<>();
     private NodeControl mControl;
 
-    private static final class DeafListener implements NodeControl.Listener {
+    private static final class NoOpListener implements NodeControl.Listener {
         @Override
         public void onConfiguration(
                 long version, Configuration configuration, NodeControl.Mark mark) {}
@@ -45,18 +45,18 @@
         public void onEvidence(String vm, String service, byte[] payload) {}
 
         @Override
-        public void onBroken(RuntimeException failure) {
+        public void onFatalError(RuntimeException failure) {
             throw failure;
         }
     }
 
     @BeforeEach
     void start() throws Exception {
-        NodeControl.Parts parts =
-                new NodeControl.Parts(
+        NodeControl.Dependencies parts =
+                new NodeControl.Dependencies(
                         new Vm("vm", "here", "127.0.0.1", 81, 82, 83, 84),
                         0,
-                        new DeafListener(),
+                        new NoOpListener(),
                         new NodeEvents("vm", 1),
                         new MetricRegistry(),
                         mWorker,
@@ -97,10 +97,10 @@
 
     /** Guards against views that pass for young since the heads that told their age were late. */
     @Test
-    void anAgeToldOnAHopMakesNoViewYounger() {
+    void ageOnHopDoesNotFreshenView() {
         mTicker.advanceMillis(700);
 
-        mControl.hopArrived(
+        mControl.handleHopHeaders(
                 HttpFields.build()
                         .put(HeaderNames.DIRECTORY, "5;127.0.0.2:82")
                         .put("Apricotgauge-View-Age-Millis", "0"));
@@ -110,14 +110,15 @@
 
     /** Guards against views that pass for young since an acknowledgement was late. */
     @Test
-    void anAcknowledgementIsAsOldAsItsRequest() {
-        long askedMillis = mControl.beforeHop(HttpFields.build());
+    void acknowledgementIsAtLeastAsOldAsItsRequest() {
+        long askedMillis = mControl.addHopHeaders(HttpFields.build());
         mTicker.advanceMillis(700);
 
-        mControl.acknowledged(HttpFields.build().put(HeaderNames.SITE_VIEW, "5;0"), askedMillis);
+        mControl.handleAcknowledgement(
+                HttpFields.build().put(HeaderNames.SITE_VIEW, "5;0"), askedMillis);
         assertThat(mControl.siteView().ageMillis()).isGreaterThanOrEqualTo(700);
-        long askedAgainMillis = mControl.beforeHop(HttpFields.build());
-        mControl.acknowledged(
+        long askedAgainMillis = mControl.addHopHeaders(HttpFields.build());
+        mControl.handleAcknowledgement(
                 HttpFields.build().put(HeaderNames.SITE_VIEW, "5;100"), askedAgainMillis);
 
         assertThat(mControl.siteView().ageMillis()).isBetween(100L, 600L);
@@ -125,11 +126,12 @@
 
     /** Guards against a node that lacks the end of a target and is told that it lacks nothing. */
     @Test
-    void anAcknowledgementOfWhatThisNodeDoesNotKnowConfirmsNothing() {
+    void acknowledgementOfUnknownRevisionDoesNotConfirm() {
         mTicker.advanceMillis(700);
-        long askedMillis = mControl.beforeHop(HttpFields.build());
+        long askedMillis = mControl.addHopHeaders(HttpFields.build());
 
-        mControl.acknowledged(HttpFields.build().put(HeaderNames.SITE_VIEW, "6;0"), askedMillis);
+        mControl.handleAcknowledgement(
+                HttpFields.build().put(HeaderNames.SITE_VIEW, "6;0"), askedMillis);
 
         assertThat(mControl.siteView().ageMillis()).isGreaterThanOrEqualTo(700);
     }
--- a/src/test/java/org/apricotgauge/node/EvidenceShareTest.java
+++ b/src/test/java/org/apricotgauge/node/EvidenceHeadersTest.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.junit.jupiter.api.Test;
 
-class EvidenceShareTest {
+class EvidenceHeadersTest {
     private static final Target TARGET = new Target("t", "s", "vm", "d", "127.0.0.1", 80, 3);
     private static final EvidenceDigest DIGEST =
             new EvidenceDigest(
@@ -25,39 +25,39 @@
                                     null)));
 
     private final ManualTicker mTicker = new ManualTicker();
-    private final EvidenceShare mShare = new EvidenceShare(mTicker, target -> DIGEST);
+    private final EvidenceHeaders mEvidenceHeaders = new EvidenceHeaders(mTicker, target -> DIGEST);
 
     @Test
-    void whatIsWrittenIsReadBack() {
+    void roundTripsEvidence() {
         HttpFields.Mutable headers = HttpFields.build();
-        mShare.write(TARGET, headers);
-        assertThat(EvidenceShare.read(headers)).contains(DIGEST);
+        mEvidenceHeaders.write(TARGET, headers);
+        assertThat(EvidenceHeaders.read(headers)).contains(DIGEST);
     }
 
     @Test
-    void whatCannotBeReadIsLeftOut() {
+    void ignoresUnreadableEvidence() {
         HttpFields headers = HttpFields.build().put(HeaderNames.EVIDENCE, "!!");
-        assertThat(EvidenceShare.read(headers)).isEqualTo(Optional.empty());
+        assertThat(EvidenceHeaders.read(headers)).isEqualTo(Optional.empty());
     }
 
     @Test
-    void answersOfOneSecondCarryABoundedNumberOfBytes() {
+    void boundsEvidenceBytesPerSecond() {
         // Callers see nothing of it. A thousand answers a second go out; evidence on each would
         // cost
         // more than control may, so most go without, and the next second brings more.
         mTicker.advanceMillis(1_000);
-        int firstBytes = bytesOnAnswers(1_000);
-        assertThat(firstBytes).isBetween(1, EvidenceShare.BYTES_PER_SECOND);
-        assertThat(bytesOnAnswers(1_000)).isZero();
+        int firstBytes = evidenceBytes(1_000);
+        assertThat(firstBytes).isBetween(1, EvidenceHeaders.BYTES_PER_SECOND);
+        assertThat(evidenceBytes(1_000)).isZero();
         mTicker.advanceMillis(1_000);
-        assertThat(bytesOnAnswers(1_000)).isBetween(1, EvidenceShare.BYTES_PER_SECOND);
+        assertThat(evidenceBytes(1_000)).isBetween(1, EvidenceHeaders.BYTES_PER_SECOND);
     }
 
-    private int bytesOnAnswers(int answers) {
+    private int evidenceBytes(int answers) {
         int bytes = 0;
         for (int i = 0; i < answers; i++) {
             HttpFields.Mutable headers = HttpFields.build();
-            mShare.write(TARGET, headers);
+            mEvidenceHeaders.write(TARGET, headers);
             String text = headers.get(HeaderNames.EVIDENCE);
             bytes += text == null ? 0 : text.length();
         }
--- a/src/test/java/org/apricotgauge/node/NodeSettingsTest.java
+++ b/src/test/java/org/apricotgauge/node/NodeSettingsTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void portsMustDifferUnlessAnyFreeOneIsAskedFor() {
+    void portsMustDifferUnlessZero() {
         Map<String, String> zeros =
                 Map.of("APRICOTGAUGE_CALLER_PORT", "0", "APRICOTGAUGE_GUARD_PORT", "0");
         Map<String, String> same =
--- a/src/test/java/org/apricotgauge/node/RecentRequestsTest.java
+++ b/src/test/java/org/apricotgauge/node/RecentRequestsTest.java
@@ -11,7 +11,7 @@
     private final RecentRequests mRequests = new RecentRequests(mTicker);
 
     @Test
-    void remembersARequestUntilItMustHaveEnded() {
+    void retainsRequestUntilItMustHaveEnded() {
         mRequests.add("one");
 
         assertThat(mRequests.contains("one")).isTrue();
--- a/src/test/java/org/apricotgauge/node/RoutingStateTest.java
+++ b/src/test/java/org/apricotgauge/node/RoutingStateTest.java
@@ -22,12 +22,12 @@
 
     /** Guards against work for a target that leaves, which the platform calls ready again. */
     @Test
-    void aTargetThatSaidItLeavesTakesNoWorkWhateverTheMembersSay() {
+    void selfReportedLeavingTargetGetsNoRequestsRegardlessOfMembership() {
         mState.configurationChanged(1, mWithFirst);
         assertThat(mState.table().acceptsRequests(FIRST)).isTrue();
 
-        assertThat(mState.saysItLeaves(FIRST)).isTrue();
-        assertThat(mState.saysItLeaves(FIRST)).isFalse();
+        assertThat(mState.recordSelfReportedLeaving(FIRST)).isTrue();
+        assertThat(mState.recordSelfReportedLeaving(FIRST)).isFalse();
         assertThat(mState.table().acceptsRequests(FIRST)).isFalse();
         mState.membersChanged(SiteMembers.of(VmView.EMPTY, ""));
         mState.configurationChanged(2, Configuration.EMPTY);
@@ -37,9 +37,9 @@
     }
 
     @Test
-    void theNextRunOfTheTargetTakesWork() {
+    void replacementOfLeavingTargetAcceptsRequests() {
         mState.configurationChanged(1, mWithFirst);
-        mState.saysItLeaves(FIRST);
+        mState.recordSelfReportedLeaving(FIRST);
 
         mState.configurationChanged(2, mWithFirst.withoutTarget("t_1").withTarget(NEXT));
 
--- a/src/test/java/org/apricotgauge/node/SidecarCrashNewsTest.java
+++ b/src/test/java/org/apricotgauge/node/SidecarCrashGossipTest.java
@@ -26,10 +26,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Nodes of three VMs on a stand-in of the users' platform, whose targets crash. */
-class SidecarCrashNewsTest {
+class SidecarCrashGossipTest {
     private static final int VMS = 3;
-    private static final Pattern HELD = Pattern.compile("\"heldMillis\":[1-9]");
-    private static final String LETHAL = KvStandin.PATH + "lethal";
+    private static final Pattern QUARANTINED = Pattern.compile("\"heldMillis\":[1-9]");
+    private static final String CRASHING_PATH = KvStandin.PATH + "lethal";
 
     private final QueuedThreadPool mThreads = new QueuedThreadPool();
     private final ScheduledExecutorScheduler mTimers = new ScheduledExecutorScheduler("test", true);
@@ -39,7 +39,7 @@
     private final List<CrashingTarget> mTargets = new ArrayList<>();
     private final List<Node> mNodes = new ArrayList<>();
     private KvStandin mPlatform;
-    private int mCopies;
+    private int mRequestCount;
 
     @BeforeEach
     void start() throws Exception {
@@ -51,7 +51,7 @@
         List<String> addresses = new ArrayList<>();
         for (int vm = 0; vm < VMS; vm++) {
             CrashingTarget target =
-                    CrashingTarget.start(host(vm), (head, body) -> head.contains(LETHAL));
+                    CrashingTarget.start(host(vm), (head, body) -> head.contains(CRASHING_PATH));
             mTargets.add(target);
             addresses.add(host(vm) + ':' + target.port());
             mNodes.add(startNode(vm, ports));
@@ -74,35 +74,35 @@
 
     // Guards against crashes that are known at the nodes that saw them, and nowhere else.
     @Test
-    void allNodesHoldWhatCrashedThreeTargets() {
+    void allNodesQuarantineRequestThatCrashedThreeTargets() {
         LocalFleet.await(
                 () -> {
-                    sendCopy();
-                    return mNodes.stream().allMatch(this::holdsOne);
+                    sendCrashingRequest();
+                    return mNodes.stream().allMatch(this::hasQuarantinedRequest);
                 });
 
         int runs = mTargets.stream().mapToInt(CrashingTarget::lethalRuns).sum();
         for (int i = 0; i < 2 * VMS; i++) {
-            sendCopy();
+            sendCrashingRequest();
         }
         assertThat(mTargets.stream().mapToInt(CrashingTarget::lethalRuns).sum()).isEqualTo(runs);
     }
 
-    private boolean holdsOne(Node node) {
+    private boolean hasQuarantinedRequest(Node node) {
         int vm = mNodes.indexOf(node);
-        return HELD.matcher(ask(vm, node.adminPort(), "/v1/quarantine")).find();
+        return QUARANTINED.matcher(get(vm, node.adminPort(), "/v1/quarantine")).find();
     }
 
-    private void sendCopy() {
-        int vm = mCopies++ % VMS;
-        ask(vm, mNodes.get(vm).callerPort(), LETHAL);
+    private void sendCrashingRequest() {
+        int vm = mRequestCount++ % VMS;
+        get(vm, mNodes.get(vm).callerPort(), CRASHING_PATH);
     }
 
-    private String ask(int vm, int port, String path) {
+    private String get(int vm, int port, String path) {
         try {
             return mCaller.newRequest(host(vm), port)
                     .path(path)
-                    .headers(headers -> KvStandin.address(headers, "copy-" + mCopies))
+                    .headers(headers -> KvStandin.address(headers, "copy-" + mRequestCount))
                     .send()
                     .getContentAsString();
         } catch (InterruptedException | TimeoutException | ExecutionException e) {
--- a/src/test/java/org/apricotgauge/node/SidecarOnPlatformTest.java
+++ b/src/test/java/org/apricotgauge/node/SidecarOnPlatformTest.java
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void isUnableUntilAConfigurationIsPublishedAndServesFromThenOn() throws Exception {
+    void returnsUnavailableUntilConfigurationIsPublished() throws Exception {
         // A caller comes before the operator has published anything: 503, not 404, since its route
         // may well exist. Once it is there, the call runs once, at the target, and comes back
         // whole.
@@ -104,7 +104,7 @@
 
     // Guards against keys that leak to whoever reads logs or asks the administration API.
     @Test
-    void nothingThatANodeWritesShowsAKey() throws Exception {
+    void logsAndAdminResponsesContainNoKey() throws Exception {
         String key = "3nax7u27gxprymh2rryt";
         ListAppender<ILoggingEvent> log = new ListAppender<>();
         log.start();
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void anotherNodeReadsTheSiteFromThisOne() throws Exception {
+    void peerReadsSiteFromThisNode() throws Exception {
         // Over real connections: a question is answered with the site and the age of the view, and
         // a watch by the change that comes while it waits.
         PeerSource peer = new PeerSource(mCaller, new PageCodec(), mGuard);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void aPageOfAnEarlierReleaseTellsNoAge() throws Exception {
+    void pageOfEarlierReleaseHasUnknownAge() throws Exception {
         // Taken for an age of 0, it would confirm a view of any age.
         byte[] page =
                 new ObjectMapper(new MessagePackFactory())
--- a/src/test/java/org/apricotgauge/node/SidecarSettingsTest.java
+++ b/src/test/java/org/apricotgauge/node/SidecarSettingsTest.java
@@ -22,7 +22,7 @@
                     "--crash-news-address=10.0.0.1:85");
 
     @Test
-    void aBoundThatIsNotInForceIsLeftEmptyAndHasItsDefault() {
+    void emptyFlagHasItsDefault() {
         List<String> flags = new ArrayList<>(FLAGS);
         flags.add("--floor-share=");
         flags.add("--retry-burst=62");
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aBadValueIsToldInOneLineThatNamesItsFlag() {
+    void invalidValueIsReportedInOneLineWithItsFlag() {
         List<String> flags = new ArrayList<>(FLAGS);
         flags.add("--stop-seconds=soon");
 
