--- a/src/main/java/org/apricotgauge/target/AcknowledgementSender.java
+++ b/src/main/java/org/apricotgauge/target/AcknowledgementSender.java
@@ -11,14 +11,14 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Tells an entry, by interim answers, that its request is here: at once, and each second after.
+ * Acknowledges a request to its entry with interim responses (102), at once and every second.
  *
  * <pre>{@code
- * acknowledgements.tell();
- * acknowledgements.after(() -> writeAnswer());
+ * acknowledgements.send();
+ * acknowledgements.runAfterPendingWrite(() -> writeAnswer());
  * }</pre>
  *
- * <p>An entry that hears none knows of a dead path long before the deadline. Thread-safe.
+ * <p>An entry that receives none detects a broken path long before the deadline. Thread-safe.
  */
 final class AcknowledgementSender {
     private static final long INTERVAL_MILLIS = 1_000;
@@ -33,23 +33,23 @@
     private volatile Scheduler.Task mNextSend;
 
     /**
-     * Creates what tells the entry.
+     * Creates a sender that has sent nothing yet.
      *
-     * @param isOver whether the answer has begun, so that nothing is told any more
-     * @param onHead adds to each interim answer what the entry should learn
+     * @param hasAnswerBegun whether the answer has begun, so that no acknowledgement may be sent
+     * @param headerWriter adds the guard's headers to each interim response
      */
     AcknowledgementSender(
             Scheduler scheduler,
             Response response,
-            BooleanSupplier isOver,
-            Consumer<HttpFields.Mutable> onHead) {
+            BooleanSupplier hasAnswerBegun,
+            Consumer<HttpFields.Mutable> headerWriter) {
         mScheduler = scheduler;
         mResponse = response;
-        mHasAnswerBegun = isOver;
-        mHeaderWriter = onHead;
+        mHasAnswerBegun = hasAnswerBegun;
+        mHeaderWriter = headerWriter;
     }
 
-    /** Tells now, and again later. */
+    /** Sends an acknowledgement now and schedules the next one. */
     synchronized void send() {
         if (mHasAnswerBegun.getAsBoolean()) {
             return;
@@ -60,16 +60,16 @@
         mNextSend = mScheduler.schedule(this::send, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs an action that writes; two writes at once would clash. */
+    /** Runs an action that writes to the response; two concurrent writes are not allowed. */
     void runAfterPendingWrite(Runnable action) {
-        CompletableFuture<Void> interim;
+        CompletableFuture<Void> pendingWrite;
         synchronized (this) {
-            interim = mPendingWrite;
+            pendingWrite = mPendingWrite;
         }
-        interim.whenComplete((written, failure) -> action.run());
+        pendingWrite.whenComplete((written, failure) -> action.run());
     }
 
-    /** Tells no more. */
+    /** Stops sending acknowledgements. */
     void stop() {
         Scheduler.Task next = mNextSend;
         if (next != null) {
--- a/src/main/java/org/apricotgauge/target/BrokenRun.java
+++ b/src/main/java/org/apricotgauge/target/BrokenRun.java
@@ -3,10 +3,10 @@
 import org.apricotgauge.decision.quarantine.Fingerprint;
 
 /**
- * A run whose connection to the target broke.
+ * A run whose connection to the target broke before its answer was complete.
  *
- * @param id identifier that the caller gave the request
- * @param fingerprint what makes the request the same as others
- * @param request the request's name for operators
+ * @param id request id that the caller assigned
+ * @param fingerprint hashes of the request's head and body, equal for duplicates
+ * @param request name of the request as shown to operators
  */
 public record BrokenRun(String id, Fingerprint fingerprint, String request) {}
--- a/src/main/java/org/apricotgauge/target/ExitDetector.java
+++ b/src/main/java/org/apricotgauge/target/ExitDetector.java
@@ -13,25 +13,26 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Tells targets that ended while they ran requests from connections that broke for other reasons.
+ * Detects whether connections to a target broke because the target's process ended.
  *
  * <pre>{@code
- * ExitWatch exits = ExitWatch.of(client, scheduler, takesWork, (target, runs) -> ...);
- * exits.broken(target, run);
+ * ExitDetector detector = ExitDetector.of(client, scheduler, acceptsRequests, onExit);
+ * detector.reportBrokenRun(target, run);
  * }</pre>
  *
- * <p>A reset connection looks the same in both cases. After the first run that breaks, the target
- * is asked for a new connection: where none listens any more, all runs that broke until then ended
- * with the process. A target that is expected to leave is not asked. Thread-safe.
+ * <p>A reset connection alone does not show why it was reset. After the first broken run, the
+ * target is probed with a new connection. If the connection is refused, the process has ended, and
+ * all runs that broke until then ended with it. A target that is leaving is not probed, since its
+ * end is expected. Thread-safe.
  */
 public final class ExitDetector {
-    /** Time in which the other connections of a process that ends break as well. */
+    /** Delay before the probe, within which all other connections of an ended process break. */
     static final long SETTLE_MILLIS = 30;
 
-    /** Longest wait for the target's answer before a caller is told of its broken run. */
+    /** Longest time for which the report of a broken run to its caller waits for the probe. */
     static final long MAX_WAIT_MILLIS = 100;
 
-    /** Most runs that are told of one end; the first to break are kept. */
+    /** Most runs that are reported with one exit; the first to break are kept. */
     static final int MAX_RUNS = 256;
 
     private final TargetProbe mProbe;
@@ -40,50 +41,50 @@
     private final BiConsumer<Target, List<BrokenRun>> mOnExit;
     private final ConcurrentMap<String, ExitCheck> mChecks = new ConcurrentHashMap<>();
 
-    /** One question to a target, and the runs that broke until its answer. */
+    /** One probe of a target, and the runs that broke until its result. */
     private static final class ExitCheck {
         private final List<BrokenRun> mRuns = new ArrayList<>();
         private final CompletableFuture<Void> mDone = new CompletableFuture<>();
     }
 
     /**
-     * Creates a watch.
+     * Creates a detector.
      *
-     * @param probe asks a target for a connection
-     * @param scheduler waits for further runs to break
-     * @param takesWork whether a target is there and not leaving
-     * @param onEnd hears of a target that ended, and of the runs that it took along
+     * @param probe probes a target with a connection
+     * @param scheduler schedules the probes and bounds the wait for their results
+     * @param acceptsRequests whether a target is registered and not leaving
+     * @param onExit called with a target that ended and the runs that broke with it
      */
     ExitDetector(
             TargetProbe probe,
             Scheduler scheduler,
-            Predicate<Target> takesWork,
-            BiConsumer<Target, List<BrokenRun>> onEnd) {
+            Predicate<Target> acceptsRequests,
+            BiConsumer<Target, List<BrokenRun>> onExit) {
         mProbe = probe;
         mScheduler = scheduler;
-        mAcceptsRequests = takesWork;
-        mOnExit = onEnd;
+        mAcceptsRequests = acceptsRequests;
+        mOnExit = onExit;
     }
 
     /**
-     * Creates a watch that connects to targets as the client does.
+     * Creates a detector that probes targets with the connections of an HTTP client.
      *
-     * @param takesWork whether a target is there and not leaving
-     * @param onEnd hears of a target that ended, and of the runs that it took along
+     * @param acceptsRequests whether a target is registered and not leaving
+     * @param onExit called with a target that ended and the runs that broke with it
      */
     public static ExitDetector of(
             HttpClient client,
             Scheduler scheduler,
-            Predicate<Target> takesWork,
-            BiConsumer<Target, List<BrokenRun>> onEnd) {
-        return new ExitDetector(TargetProbe.using(client), scheduler, takesWork, onEnd);
+            Predicate<Target> acceptsRequests,
+            BiConsumer<Target, List<BrokenRun>> onExit) {
+        return new ExitDetector(TargetProbe.using(client), scheduler, acceptsRequests, onExit);
     }
 
     /**
-     * Takes in a run whose connection broke before its answer was whole.
+     * Handles a run whose connection broke before its answer was complete.
      *
-     * @return completes once the end of the target, if it has ended, was told; at the latest after
-     *     {@link #MAX_WAIT_MILLIS}
+     * @return completes once the exit of the target, if it has ended, was reported; at the latest
+     *     after {@link #MAX_WAIT_MILLIS}
      */
     public CompletableFuture<Void> reportBrokenRun(Target target, BrokenRun run) {
         if (!mAcceptsRequests.test(target)) {
@@ -108,15 +109,15 @@
     }
 
     private void probe(Target target) {
-        mProbe.probe(target).thenAccept(answer -> handleProbeResult(target, answer));
+        mProbe.probe(target).thenAccept(result -> handleProbeResult(target, result));
     }
 
-    private void handleProbeResult(Target target, TargetProbe.Result answer) {
+    private void handleProbeResult(Target target, TargetProbe.Result result) {
         ExitCheck check = mChecks.remove(target.id());
         if (check == null) {
             return;
         }
-        if (answer == TargetProbe.Result.REFUSED) {
+        if (result == TargetProbe.Result.REFUSED) {
             mOnExit.accept(target, List.copyOf(check.mRuns));
         }
         check.mDone.complete(null);
--- a/src/main/java/org/apricotgauge/target/GuardContext.java
+++ b/src/main/java/org/apricotgauge/target/GuardContext.java
@@ -10,19 +10,19 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * What all requests of one guard share.
+ * Collaborators that all requests of one guard share.
  *
- * @param client sends to the targets of this VM
- * @param ledger which attempts may start
+ * @param client HTTP client for the targets of this VM
+ * @param ledger decides which attempts may start
  * @param scheduler runs timeouts
- * @param ticker time of ledger and queues
- * @param observer hears how requests ended
- * @param acceptsRequests whether a target is there and not leaving
- * @param dialect headers of the site's targets
- * @param exitDetector tells which targets ended while they ran requests
- * @param quarantine which requests are kept from targets
- * @param log tells which requests were sent to targets
- * @param metrics counters
+ * @param ticker clock of the ledger and the queues
+ * @param observer is notified of requests and of targets' state
+ * @param acceptsRequests whether a target is registered and not leaving
+ * @param dialect header convention of the site's targets
+ * @param exitDetector detects targets that ended while they ran requests
+ * @param quarantine requests that may not be sent to targets
+ * @param log logs which requests were sent to targets
+ * @param metrics counters of the guard
  */
 record GuardContext(
         HttpClient client,
--- a/src/main/java/org/apricotgauge/target/GuardHandler.java
+++ b/src/main/java/org/apricotgauge/target/GuardHandler.java
@@ -51,14 +51,14 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The last hop before the targets of this node's VM: limits, queues, fences and forwards.
+ * Handles the last hop before the targets of this node's VM: limits, queues, fences and forwards.
  *
- * <p>Other nodes send it attempts ({@link Attempt#HEADER}) and control questions ({@link
- * HeaderNames#CONTROL}): its stamp, a fence, or the abandonment of an attempt. Every answer carries
- * the {@link GuardStamp}. All requests on the guard's port come from nodes.
+ * <p>Other nodes send it attempts ({@link Attempt#HEADER}) and control requests ({@link
+ * HeaderNames#CONTROL}), such as one for its stamp, a fence, or the abandonment of an attempt.
+ * Every answer carries the {@link GuardStamp}. All requests on the guard's port come from nodes.
  */
 public final class GuardHandler extends Handler.Abstract.NonBlocking {
-    /** Value of {@link HeaderNames#CONTROL}: tell the stamp. */
+    /** Value of {@link HeaderNames#CONTROL}: return the stamp. */
     public static final String CONTROL_STAMP = "stamp";
 
     /** Value of {@link HeaderNames#CONTROL}: fence the attempt. */
@@ -67,12 +67,10 @@
     /** Value of {@link HeaderNames#CONTROL}: fence the attempt, and cancel it if it runs. */
     public static final String CONTROL_ABANDON = "abandon";
 
-    /**
-     * Value of {@link HeaderNames#CONTROL}: a request whose Idempotency-Key this node remembers.
-     */
+    /** Value of {@link HeaderNames#CONTROL}: a request whose Idempotency-Key this node owns. */
     public static final String CONTROL_KEYED = "keyed";
 
-    /** Value of {@link HeaderNames#CONTROL}: what the platform published, as this node knows it. */
+    /** Value of {@link HeaderNames#CONTROL}: return this node's copy of the platform's items. */
     public static final String CONTROL_DIRECTORY = "directory";
 
     private static final long EXPIRY_INTERVAL_MILLIS = 10;
@@ -90,15 +88,15 @@
     private final AtomicBoolean mExpiryScheduled = new AtomicBoolean();
     private volatile boolean mDraining;
 
-    /** Tells a peer what the platform published. */
+    /** Provides peers with this node's copy of the items that the platform published. */
     @FunctionalInterface
     public interface DirectoryPages {
         /**
-         * Returns the encoded changes after a revision; empty bytes if nothing is read so.
+         * Returns the encoded changes after a revision; empty if this node reads no such items.
          *
          * @param afterRevision revision that the peer has
-         * @param waitMillis how long it waits for a change; 0 if it asks for a younger view
-         * @param compressed whether it takes compressed values
+         * @param waitMillis how long the peer waits for a change; 0 if it requests a fresher view
+         * @param compressed whether the peer accepts compressed values
          */
         CompletableFuture<byte[]> changesAfter(
                 long afterRevision, long waitMillis, boolean compressed);
@@ -108,40 +106,40 @@
      * Creates the handler of one VM.
      *
      * @param vm id of the VM
-     * @param table present routing table
-     * @param client sends to the targets; started and stopped by the caller
-     * @param ledger memory of attempts
+     * @param routingTable supplies the present routing table
+     * @param client HTTP client for the targets; started and stopped by the caller
+     * @param ledger records attempts
      * @param scheduler runs timeouts
-     * @param ticker time of ledger and queues
-     * @param observer hears how requests ended
-     * @param keyed serves requests whose Idempotency-Key this node remembers
-     * @param dialect headers of the site's targets
+     * @param ticker clock of the ledger and the queues
+     * @param observer is notified of requests and of targets' state
+     * @param keyedHandler handles requests whose Idempotency-Key this node owns
+     * @param dialect header convention of the site's targets
      * @param slotUse who else uses the targets' slots
-     * @param retries which retries are let through to targets
-     * @param quarantine which requests are kept from targets
-     * @param directory tells peers what the platform published
-     * @param registry takes the counters
+     * @param retryAllowance bounds the retries that are sent to targets
+     * @param quarantine requests that may not be sent to targets
+     * @param directoryPages provides the platform's items to peers
+     * @param registry registers the metrics
      */
     public GuardHandler(
             String vm,
-            Supplier<RoutingTable> table,
+            Supplier<RoutingTable> routingTable,
             HttpClient client,
             AttemptLedger ledger,
             Scheduler scheduler,
             Ticker ticker,
             GuardObserver observer,
-            Request.Handler keyed,
+            Request.Handler keyedHandler,
             SiteDialect dialect,
             AdmissionConfig.SlotUse slotUse,
-            RetryAllowancePolicy retries,
+            RetryAllowancePolicy retryAllowance,
             QuarantineTable quarantine,
-            DirectoryPages directory,
+            DirectoryPages directoryPages,
             MetricRegistry registry) {
         mVm = vm;
-        mDirectoryPages = directory;
-        mRetryBudgets = new RetryBudgetRegistry(retries, ticker.millis());
-        mRoutingTable = table;
-        mKeyedHandler = keyed;
+        mDirectoryPages = directoryPages;
+        mRetryBudgets = new RetryBudgetRegistry(retryAllowance, ticker.millis());
+        mRoutingTable = routingTable;
+        mKeyedHandler = keyedHandler;
         mContext =
                 new GuardContext(
                         client,
@@ -167,7 +165,7 @@
                         this::expireWhileQueued);
     }
 
-    // Waiting requests are looked at every few milliseconds; while none waits, no timer runs.
+    // Queued requests are checked every few milliseconds; no timer runs while none is queued.
     private void expireWhileQueued() {
         if (mExpiryScheduled.compareAndSet(false, true)) {
             scheduleExpiry();
@@ -188,7 +186,7 @@
                 scheduleExpiry();
             } else {
                 mExpiryScheduled.set(false);
-                // One that was queued after the look and before the mark has found the mark set.
+                // A request queued since the last check found the flag set and scheduled nothing.
                 if (mGates.expire()) {
                     expireWhileQueued();
                 }
@@ -197,18 +195,17 @@
     }
 
     /**
-     * Refuses attempts that arrive from now on and those that wait, as not run; those at the target
-     * go on.
+     * Rejects arriving and queued attempts as not run from now on; those at a target continue.
      *
-     * <p>One that waited on would get its slot when little is left of the stop's time, and be cut
-     * at the target; now it is sent to another.
+     * <p>An attempt that stayed in the queue would get its slot when little of the shutdown time is
+     * left, and would be aborted at the target. Rejected now, it is sent to another target.
      */
     public void drain() {
         mDraining = true;
         mRequests.values().forEach(GuardedRequest::onDraining);
     }
 
-    /** Returns how many attempts are here, waiting or running. */
+    /** Returns the number of attempts that are queued or running. */
     public int inFlight() {
         return mInFlight.get();
     }
@@ -247,14 +244,14 @@
         return true;
     }
 
-    private void writeDirectoryPage(HttpFields question, Response response, Callback callback) {
-        long afterRevision = Math.max(0, question.getLongField(HeaderNames.DIRECTORY));
-        long waitMillis = Math.max(0, question.getLongField(HeaderNames.DIRECTORY_WAIT_MILLIS));
+    private void writeDirectoryPage(HttpFields headers, Response response, Callback callback) {
+        long afterRevision = Math.max(0, headers.getLongField(HeaderNames.DIRECTORY));
+        long waitMillis = Math.max(0, headers.getLongField(HeaderNames.DIRECTORY_WAIT_MILLIS));
         mDirectoryPages
                 .changesAfter(
                         afterRevision,
                         waitMillis,
-                        question.contains(HeaderNames.DIRECTORY_COMPRESSED))
+                        headers.contains(HeaderNames.DIRECTORY_COMPRESSED))
                 .whenComplete(
                         (page, failure) -> {
                             if (failure == null) {
@@ -265,32 +262,32 @@
                         });
     }
 
-    // A second try of a keyed request, read by a node that was paused for longer than it remembers
-    // keys, would run again; it carries the latest start of the first, which has passed by then.
+    // A node that was paused for longer than it retains keys would run a retry of a keyed request
+    // again. The retry carries the latest start of the first attempt, which has passed by then.
     private boolean handleKeyed(
             Attempt attempt, Request request, Response response, Callback callback)
             throws Exception {
-        AttemptAdmission arrival = mContext.ledger().check(attempt, mContext.ticker().millis());
-        if (arrival == AttemptAdmission.ADMITTED) {
+        AttemptAdmission admission = mContext.ledger().check(attempt, mContext.ticker().millis());
+        if (admission == AttemptAdmission.ADMITTED) {
             return mKeyedHandler.handle(request, response, callback);
         }
-        reject(arrival, response, callback);
+        reject(admission, response, callback);
         return true;
     }
 
     private void fence(Attempt attempt, boolean abandon, Response response, Callback callback) {
         mContext.metrics().fences().inc();
         FenceAnswer answer = mContext.ledger().fence(attempt, mContext.ticker().millis());
-        GuardedRequest waiting = mRequests.get(attempt);
-        if (waiting != null && abandon) {
-            waiting.onAbandoned();
-        } else if (waiting != null) {
-            waiting.onFenced();
+        GuardedRequest guardedRequest = mRequests.get(attempt);
+        if (guardedRequest != null && abandon) {
+            guardedRequest.onAbandoned();
+        } else if (guardedRequest != null) {
+            guardedRequest.onFenced();
         }
         Bodies.writeText(response, callback, HttpStatus.OK_200, textOf(answer));
     }
 
-    /** Returns the word that a fence is answered with. */
+    /** Returns the text that answers a fence. */
     private static String textOf(FenceAnswer answer) {
         return answer.state().name() + ' ' + answer.status();
     }
@@ -314,23 +311,23 @@
         mContext.observer()
                 .onAttemptArrived(target, Request.getRemoteAddr(request), request.getHeaders());
         long nowMillis = mContext.ticker().millis();
-        AttemptAdmission arrival = mContext.ledger().admit(attempt, nowMillis);
-        if (arrival != AttemptAdmission.ADMITTED) {
-            reject(arrival, response, callback);
+        AttemptAdmission admission = mContext.ledger().admit(attempt, nowMillis);
+        if (admission != AttemptAdmission.ADMITTED) {
+            reject(admission, response, callback);
             return;
         }
         StartLimit.parseOrNone(request.getHeaders().get(HeaderNames.TARGET_LIMIT))
                 .ifPresent(gate::handleEntryLimit);
         Ticket ticket = ticketOf(attempt, request);
         mInFlight.incrementAndGet();
-        Callback counted =
+        Callback countingCallback =
                 Callback.from(
                         callback,
                         () -> {
                             mRequests.remove(attempt);
                             mInFlight.decrementAndGet();
                         });
-        GuardedRequest guarded =
+        GuardedRequest guardedRequest =
                 new GuardedRequest(
                         mContext,
                         gate,
@@ -338,15 +335,14 @@
                         ticket,
                         request,
                         response,
-                        counted,
+                        countingCallback,
                         riskToleranceOf(request),
                         retryChargeOf(target, request));
-        mRequests.put(attempt, guarded);
-        guarded.start();
+        mRequests.put(attempt, guardedRequest);
+        guardedRequest.start();
     }
 
-    // The kinds of work are the routes; a guard that knows no such route yet has no estimate
-    // either.
+    // The route is the kind of work; a guard without that route yet has no estimate for it either.
     private String workKindOf(Request request) {
         String path = request.getHttpURI().getPath();
         return mRoutingTable
@@ -357,7 +353,7 @@
                 .orElse("");
     }
 
-    // Work that waited here while its target left would reach it later than targets serve on.
+    // A request queued while its target leaves would arrive after the target stopped serving.
     private boolean acceptsRequests(Target target) {
         return mRoutingTable.get().acceptsRequests(target);
     }
@@ -378,25 +374,27 @@
                             Member.DEFAULT_WEIGHT);
         }
         boolean isCall = request.getHeaders().contains(HeaderNames.NESTED_CALL);
-        long usefulMillis = request.getHeaders().getLongField(HeaderNames.SOFT_DEADLINE_MILLIS);
+        long softRemainingMillis =
+                request.getHeaders().getLongField(HeaderNames.SOFT_DEADLINE_MILLIS);
         return new Ticket(
                 mTicketIds.incrementAndGet(),
                 member,
-                // A running request holds its slot while it waits, whatever the call's route says.
+                // The parent request holds a slot while it waits, whatever the call's route says.
                 isCall ? Priority.CRITICAL : priorityOf(request),
                 workKindOf(request),
                 isCall,
                 queueingPolicyOf(request),
-                usefulMillis >= 0
-                        ? mContext.ticker().millis() + usefulMillis
+                softRemainingMillis >= 0
+                        ? mContext.ticker().millis() + softRemainingMillis
                         : attempt.latestStartMillis(),
                 attempt.latestStartMillis());
     }
 
     private RetryCharge retryChargeOf(Target target, Request request) {
-        Optional<ServiceTable> table = mRoutingTable.get().service(target.service());
+        Optional<ServiceTable> serviceTable = mRoutingTable.get().service(target.service());
         RetryBudget budget =
-                table.map(one -> mRetryBudgets.of(one.service(), one.all().size()))
+                serviceTable
+                        .map(service -> mRetryBudgets.of(service.service(), service.all().size()))
                         .orElseGet(RetryBudget::none);
         String id = mContext.dialect().requestId(request.getHeaders());
         return new RetryCharge(
@@ -406,32 +404,32 @@
                 () -> mContext.observer().onRetryStarted(id));
     }
 
-    // An entry of an older release names none, and is served as before.
+    // Entries of older releases don't send the header; their requests tolerate any risk.
     private static HealthGate.RiskTolerance riskToleranceOf(Request request) {
-        String word = request.getHeaders().get(HeaderNames.RISK_TOLERANCE);
-        for (HealthGate.RiskTolerance caution : HealthGate.RiskTolerance.values()) {
-            if (caution.name().toLowerCase(Locale.ROOT).equals(word)) {
-                return caution;
+        String value = request.getHeaders().get(HeaderNames.RISK_TOLERANCE);
+        for (HealthGate.RiskTolerance riskTolerance : HealthGate.RiskTolerance.values()) {
+            if (riskTolerance.name().toLowerCase(Locale.ROOT).equals(value)) {
+                return riskTolerance;
             }
         }
         return HealthGate.RiskTolerance.NONE;
     }
 
-    // An entry of an older release names none, and waits as before.
+    // Entries of older releases don't send the header; their requests may be queued.
     private static QueueingPolicy queueingPolicyOf(Request request) {
-        String word = request.getHeaders().get(HeaderNames.QUEUEING_POLICY);
-        for (QueueingPolicy patience : QueueingPolicy.values()) {
-            if (patience.name().toLowerCase(Locale.ROOT).equals(word)) {
-                return patience;
+        String value = request.getHeaders().get(HeaderNames.QUEUEING_POLICY);
+        for (QueueingPolicy queueingPolicy : QueueingPolicy.values()) {
+            if (queueingPolicy.name().toLowerCase(Locale.ROOT).equals(value)) {
+                return queueingPolicy;
             }
         }
         return QueueingPolicy.MAY_WAIT;
     }
 
     private static Priority priorityOf(Request request) {
-        String word = request.getHeaders().get(HeaderNames.PRIORITY);
+        String value = request.getHeaders().get(HeaderNames.PRIORITY);
         for (Priority priority : Priority.values()) {
-            if (priority.name().toLowerCase(Locale.ROOT).equals(word)) {
+            if (priority.name().toLowerCase(Locale.ROOT).equals(value)) {
                 return priority;
             }
         }
@@ -444,14 +442,14 @@
         OutcomeCodec.write(response, callback, new Outcome.NotRun(reason, 0));
     }
 
-    private void reject(AttemptAdmission arrival, Response response, Callback callback) {
-        if (!arrival.provesNotRun()) {
+    private void reject(AttemptAdmission admission, Response response, Callback callback) {
+        if (!admission.provesNotRun()) {
             mContext.metrics().unknown().inc();
             OutcomeCodec.write(response, callback, new Outcome.Unknown(UnknownReason.FORGOTTEN));
             return;
         }
         NotRunReason reason =
-                switch (arrival) {
+                switch (admission) {
                     case OTHER_INCARNATION -> NotRunReason.GUARD_RESTARTED;
                     case FULL -> NotRunReason.LEDGER_FULL;
                     case EXPIRED, TOO_FAR_AHEAD -> NotRunReason.DEADLINE_PASSED;
--- a/src/main/java/org/apricotgauge/target/GuardMetrics.java
+++ b/src/main/java/org/apricotgauge/target/GuardMetrics.java
@@ -4,7 +4,7 @@
 import com.codahale.metrics.MetricRegistry;
 import com.codahale.metrics.Timer;
 
-/** Counters of the last hop. */
+/** Counters and timer of the last hop. */
 record GuardMetrics(
         Counter requests,
         Counter answered,
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -32,13 +32,13 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One admitted attempt on its way through the gate to its target and back.
+ * An attempt that the ledger admitted, from the queue to its target and back.
  *
- * <p>It ends once: refused before its first byte (proof of "not run"), answered, or broken. Each
- * ending tells the ledger, the gate, the observer and the entry, in that order.
+ * <p>It ends exactly once: rejected before its first byte (proof of "not run"), answered, or
+ * broken. Each end is reported to the ledger, the gate, the observer and the entry, in that order.
  */
 final class GuardedRequest implements TargetGate.AdmissionListener, UpstreamExchange.Listener {
-    /** An answer below shows that the request does its target no harm. */
+    /** An answer with a lower status shows that the request doesn't crash its target. */
     private static final int FIRST_FAILURE_STATUS = 400;
 
     private final GuardContext mContext;
@@ -66,7 +66,7 @@
     private final SendCheck mSendCheck;
     private volatile boolean mTimedOut;
 
-    /** Why nothing was written though the request had its slot; null while nothing forbids it. */
+    /** Why nothing was written although the request had a slot; null if it may be written. */
     private volatile NotRunReason mSendRejection;
 
     private volatile boolean mAbandoned;
@@ -75,11 +75,11 @@
     private enum Phase {
         /** In the queue. */
         WAITING,
-        /** Has a slot; the answer's head is not here. */
+        /** Has a slot; the head of the answer has not arrived. */
         SENDING,
-        /** The answer streams. */
+        /** The answer is being streamed. */
         ANSWERING,
-        /** Over. */
+        /** The attempt has ended. */
         ENDED
     }
 
@@ -91,16 +91,16 @@
             Request request,
             Response response,
             Callback callback,
-            HealthGate.RiskTolerance caution,
-            RetryCharge pass) {
-        mRiskTolerance = caution;
+            HealthGate.RiskTolerance riskTolerance,
+            RetryCharge retryCharge) {
+        mRiskTolerance = riskTolerance;
         mArrivedMillis = context.ticker().millis();
         mRunDeadline =
                 RunDeadline.of(
                         request.getHeaders().getLongField(HeaderNames.TIMEOUT_MILLIS),
                         ticket.deadlineMillis(),
                         mArrivedMillis);
-        mRetryCharge = pass;
+        mRetryCharge = retryCharge;
         mContext = context;
         mGate = gate;
         mIdentity = new RunIdentity(request, context.dialect());
@@ -124,7 +124,7 @@
         return phase == Phase.ANSWERING || phase == Phase.ENDED;
     }
 
-    /** Tells the entry that the request is here, and goes to the gate. */
+    /** Acknowledges the request to its entry and submits it to the gate. */
     void start() {
         DisconnectDetectingEndPoint.watch(mRequest, this::onEntryDisconnected);
         mAcknowledgements.send();
@@ -132,7 +132,7 @@
                 () -> mIdentity.whenIdentified(mContext.quarantine(), this::submit));
     }
 
-    /** Takes the request out of the queue after a fence; a started one goes on. */
+    /** Removes the request from the queue after a fence; a started one continues. */
     void onFenced() {
         if (mGate.cancel(mTicket) && mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
             endNotRun(NotRunReason.FENCED);
@@ -147,12 +147,12 @@
         }
         mGate.submit(mTicket, this);
         if (mDraining) {
-            // The node began to stop between the arrival and the queue.
+            // The node began to drain between the arrival and the queue.
             onDraining();
         }
     }
 
-    /** Takes the request out of the queue because the node stops; one at the target goes on. */
+    /** Removes the request from the queue because the node stops; a started one continues. */
     void onDraining() {
         mDraining = true;
         if (mGate.cancel(mTicket) && mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
@@ -161,19 +161,19 @@
         }
     }
 
-    // The entry closes its connection when its caller has hung up or its deadline has passed.
+    // The entry disconnects when its caller has disconnected or the deadline has passed.
     private void onEntryDisconnected() {
         mContext.ledger().fence(mAttempt, mContext.ticker().millis());
         onAbandoned();
     }
 
-    /** Gives the request up because its entry has; a started one is cancelled at the target. */
+    /** Cancels the request after its entry abandoned it, at the target if it has started. */
     void onAbandoned() {
         mAbandoned = true;
         onFenced();
         UpstreamExchange exchange = mExchange;
         if (exchange != null) {
-            exchange.abort(new TimeoutException("the entry gave the attempt up"));
+            exchange.abort(new TimeoutException("entry abandoned the attempt"));
         }
     }
 
@@ -181,9 +181,9 @@
     public void admitted() {
         mAdmittedMillis = mContext.ticker().millis();
         mSiteView = mContext.observer().siteView();
-        NotRunReason refused = mSendCheck.checkAdmitted(mRiskTolerance, mRetryCharge);
-        if (refused != null) {
-            rejectAdmitted(refused);
+        NotRunReason rejection = mSendCheck.checkAdmitted(mRiskTolerance, mRetryCharge);
+        if (rejection != null) {
+            rejectAdmitted(rejection);
             return;
         }
         if (!mPhase.compareAndSet(Phase.WAITING, Phase.SENDING)) {
@@ -191,21 +191,22 @@
             return;
         }
         mContext.observer().onRunStarted(requestId());
-        long leftMillis = mRunDeadline.remainingMillis(mContext.ticker().millis());
+        long remainingMillis = mRunDeadline.remainingMillis(mContext.ticker().millis());
         mTimeoutTask =
-                mContext.scheduler().schedule(this::onTimeout, leftMillis, TimeUnit.MILLISECONDS);
+                mContext.scheduler()
+                        .schedule(this::onTimeout, remainingMillis, TimeUnit.MILLISECONDS);
         mRunMonitor.start(
                 mTicket.workKind(),
                 mGate.softDeadlineRemainingMillis(mTicket),
-                leftMillis,
+                remainingMillis,
                 this::abortForFailover);
         mExchange =
                 UpstreamExchange.send(
                         TargetRequestFactory.create(
-                                mContext, mGate, mTicket, mRequest, mIdentity, leftMillis),
+                                mContext, mGate, mTicket, mRequest, mIdentity, remainingMillis),
                         this);
         if (mAbandoned) {
-            // Given up between the slot and the sending, when there was nothing yet to abort.
+            // Abandoned after the admission, when there was no exchange to abort yet.
             onAbandoned();
         }
     }
@@ -219,10 +220,10 @@
     }
 
     @Override
-    public void rejected(Rejection refusal) {
+    public void rejected(Rejection rejection) {
         if (mPhase.compareAndSet(Phase.WAITING, Phase.ENDED)) {
             mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
-            endNotRun(reasonOf(refusal.reason()), refusal.retryAfterMillis());
+            endNotRun(reasonOf(rejection.reason()), rejection.retryAfterMillis());
         }
     }
 
@@ -265,35 +266,37 @@
             return;
         }
         if (failure.progress() == UpstreamExchange.Progress.NOT_SENT) {
-            NotRunReason withheld = mSendRejection;
-            boolean isUnstarted = mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
+            NotRunReason rejection = mSendRejection;
+            boolean isNotRun = mContext.ledger().withdraw(mAttempt, mContext.ticker().millis());
             releaseSlot(
-                    withheld == null ? RunResult.FAILED : RunResult.UNSENT,
-                    withheld == null ? ObservedOutcome.TARGET_ERROR : ObservedOutcome.CANCELLED);
-            if (!isUnstarted) {
-                throw new IllegalStateException("attempt not sent, yet started: " + mAttempt);
+                    rejection == null ? RunResult.FAILED : RunResult.UNSENT,
+                    rejection == null ? ObservedOutcome.TARGET_ERROR : ObservedOutcome.CANCELLED);
+            if (!isNotRun) {
+                throw new IllegalStateException(
+                        "attempt was not sent but is recorded as started: " + mAttempt);
             }
-            endNotRun(withheld == null ? NotRunReason.TARGET_UNREACHABLE : withheld);
+            endNotRun(rejection == null ? NotRunReason.TARGET_UNREACHABLE : rejection);
             return;
         }
-        endBroken(true).whenComplete((told, ignored) -> writeUnknown());
+        endBroken(true).whenComplete((exitReported, ignored) -> writeUnknown());
     }
 
-    // Told at once, the entry would send the request to its next target before anybody knows that
-    // this one has ended.
+    // Written after the exit check: an entry that is answered at once would send the request to its
+    // next target before it is known that this target has ended.
     private void writeUnknown() {
-        boolean held = quarantineMillis() > 0;
-        prepayRetry(mRiskTolerance == HealthGate.RiskTolerance.MAY_TRY && !held);
+        boolean isQuarantined = quarantineMillis() > 0;
+        prepayRetry(mRiskTolerance == HealthGate.RiskTolerance.MAY_TRY && !isQuarantined);
         mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
         Outcome.Unknown outcome =
-                new Outcome.Unknown(held ? UnknownReason.QUARANTINED : UnknownReason.STARTED);
+                new Outcome.Unknown(
+                        isQuarantined ? UnknownReason.QUARANTINED : UnknownReason.STARTED);
         mAcknowledgements.runAfterPendingWrite(
                 () -> OutcomeCodec.write(mResponse, mCallback, outcome));
     }
 
-    /** Pays for the next run of a request that this target failed, if it may have one. */
-    private void prepayRetry(boolean mayRunAgain) {
-        if (mayRunAgain && (mRetryPrepaid || mRetryCharge.tryPrepayRetry())) {
+    /** Pays for the retry of a request that this target failed, if it may be retried. */
+    private void prepayRetry(boolean mayRetry) {
+        if (mayRetry && (mRetryPrepaid || mRetryCharge.tryPrepayRetry())) {
             mResponse.getHeaders().put(HeaderNames.NEXT_RETRY_PREPAID, "1");
         }
     }
@@ -301,7 +304,7 @@
     @Override
     public void onAnswer(org.eclipse.jetty.client.Response answer, Content.Source body) {
         if (!mPhase.compareAndSet(Phase.SENDING, Phase.ANSWERING)) {
-            body.fail(new TimeoutException("the attempt was given up"));
+            body.fail(new TimeoutException("attempt was abandoned"));
             return;
         }
         mAcknowledgements.stop();
@@ -325,13 +328,13 @@
         }
         mGate.addHeaders(mResponse.getHeaders());
         mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
-        FailureTrackingSource watched = new FailureTrackingSource(body);
+        FailureTrackingSource trackedBody = new FailureTrackingSource(body);
         Callback whenCopied =
                 Callback.from(
                         () -> onAnswerCompleted(answer.getStatus()),
-                        cause -> onAnswerBroken(watched.hasFailed(), cause));
+                        cause -> onAnswerBroken(trackedBody.hasFailed(), cause));
         mAcknowledgements.runAfterPendingWrite(
-                () -> ResponseForwarder.copyBody(answer, watched, mResponse, whenCopied));
+                () -> ResponseForwarder.copyBody(answer, trackedBody, mResponse, whenCopied));
     }
 
     private void handleNotice(SiteDialect.AnswerKind kind, TargetNotice notice) {
@@ -347,13 +350,13 @@
             Content.Source body) {
         mPhase.set(Phase.ENDED);
         if (kind == SiteDialect.AnswerKind.MISMATCHED) {
-            body.fail(new IllegalStateException("an answer to another request"));
+            body.fail(new IllegalStateException("answer belongs to another request"));
             endBroken(true);
             mContext.metrics().foreignAnswers().inc();
             mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
-            Outcome.Unknown lost = new Outcome.Unknown(UnknownReason.ANSWER_LOST);
+            Outcome.Unknown outcome = new Outcome.Unknown(UnknownReason.ANSWER_LOST);
             mAcknowledgements.runAfterPendingWrite(
-                    () -> OutcomeCodec.write(mResponse, mCallback, lost));
+                    () -> OutcomeCodec.write(mResponse, mCallback, outcome));
             return;
         }
         mContext.ledger().completed(mAttempt, answer.getStatus(), mContext.ticker().millis());
@@ -374,8 +377,8 @@
         mContext.ledger().completed(mAttempt, status, mContext.ticker().millis());
         boolean shed = status == HttpStatus.SERVICE_UNAVAILABLE_503;
         boolean error = HttpStatus.isServerError(status);
-        ObservedOutcome seen = error ? errorOutcome() : ObservedOutcome.SUCCESS;
-        releaseSlot(resultOf(shed, error), shed ? ObservedOutcome.SHED : seen);
+        ObservedOutcome outcome = error ? errorOutcome() : ObservedOutcome.SUCCESS;
+        releaseSlot(resultOf(shed, error), shed ? ObservedOutcome.SHED : outcome);
         if (status < FIRST_FAILURE_STATUS) {
             mContext.quarantine().recordSuccess(mIdentity.fingerprint());
         }
@@ -384,8 +387,8 @@
         mCallback.succeeded();
     }
 
-    // A failure after 1 ms says nothing of the time that work takes. Counted in, it makes waits
-    // look short, and requests wait past their deadlines at targets that just began to fail.
+    // A failure after 1 ms is no sample of the service time. If it counted, wait estimates would be
+    // too short, and requests would wait past their deadlines at targets that just began to fail.
     private static RunResult resultOf(boolean shed, boolean error) {
         if (shed) {
             return RunResult.SHED;
@@ -393,8 +396,8 @@
         return error ? RunResult.FAILED : RunResult.ANSWERED;
     }
 
-    // A target whose call to another service failed has to fail its own request. Taken for a sick
-    // one, it would be avoided, and one bad service would make all that call it look sick.
+    // A target whose nested call failed has to fail its own request. If that counted against the
+    // target, one degraded service would make all services that call it appear degraded.
     private ObservedOutcome errorOutcome() {
         return hasFailedCall() ? ObservedOutcome.CANCELLED : ObservedOutcome.TARGET_ERROR;
     }
@@ -414,22 +417,22 @@
     }
 
     private CompletableFuture<Void> endBroken(boolean byTarget) {
-        CompletableFuture<Void> told = CompletableFuture.completedFuture(null);
+        CompletableFuture<Void> exitReported = CompletableFuture.completedFuture(null);
         mContext.ledger().broken(mAttempt, mContext.ticker().millis());
         if (mTimedOut) {
             releaseSlot(RunResult.CANCELLED, ObservedOutcome.TIMEOUT);
         } else if (byTarget && !mAbandoned && !mRetryPrepaid) {
             releaseSlot(RunResult.FAILED, ObservedOutcome.TARGET_ERROR);
-            told = mRunMonitor.reportBroken();
+            exitReported = mRunMonitor.reportBroken();
         } else {
             releaseSlot(RunResult.CANCELLED, ObservedOutcome.CANCELLED);
         }
         mContext.metrics().unknown().inc();
         stopTimers();
-        return told;
+        return exitReported;
     }
 
-    // A target that hangs would hold the request to its deadline, though others could serve it.
+    // A hung target would keep the request until its deadline though others could serve it.
     private void abortForFailover() {
         UpstreamExchange exchange = mExchange;
         if (mRiskTolerance != HealthGate.RiskTolerance.MAY_TRY
@@ -441,14 +444,14 @@
         }
         mRetryPrepaid = true;
         mContext.metrics().hung().inc();
-        exchange.abort(new TimeoutException("the target hangs"));
+        exchange.abort(new TimeoutException("target is unresponsive"));
     }
 
     private void onTimeout() {
         mTimedOut = true;
         UpstreamExchange exchange = mExchange;
         if (exchange != null) {
-            exchange.abort(new TimeoutException("deadline of the request passed"));
+            exchange.abort(new TimeoutException("request deadline passed"));
         }
     }
 
--- a/src/main/java/org/apricotgauge/target/LimitReporter.java
+++ b/src/main/java/org/apricotgauge/target/LimitReporter.java
@@ -7,15 +7,15 @@
 import org.apricotgauge.model.Target;
 
 /**
- * Tells operators which targets name a limit: by lines, a counter and events.
+ * Reports changes of the targets' rate limits with log lines, a counter and events.
  *
  * <pre>{@code
- * report.changed(target, Optional.of(limit), Optional.empty());
+ * reporter.changed(target, Optional.of(limit), Optional.empty());
  * }</pre>
  *
- * @param log takes a line for each change
- * @param limitedTargets counts the targets that have a limit now
- * @param onChange takes the limit that a target names from now on; nothing if it names none
+ * @param log logs a line for each change
+ * @param limitedTargets number of targets that have a limit at present
+ * @param onChange called with a target and its new limit; empty if it no longer declares one
  */
 record LimitReporter(
         TargetRunLog log,
@@ -23,10 +23,10 @@
         BiConsumer<Target, Optional<StartLimit>> onChange) {
 
     /**
-     * Tells that a target names another limit than before.
+     * Reports that a target declares a different limit than before.
      *
-     * @param limit what it names from now on; nothing if it names none
-     * @param before what it named until now
+     * @param limit the new limit; empty if the target no longer declares one
+     * @param before the previous limit; empty if there was none
      */
     void changed(Target target, Optional<StartLimit> limit, Optional<StartLimit> before) {
         limitedTargets.inc(count(limit) - count(before));
@@ -34,7 +34,7 @@
         onChange.accept(target, limit);
     }
 
-    /** Tells that a target names something as its limit that is none; the known one holds. */
+    /** Reports that a target declares an unreadable limit; the last readable one stays. */
     void unreadable(Target target, String text) {
         log.limitUnreadable(target, text);
     }
--- a/src/main/java/org/apricotgauge/target/RetryCharge.java
+++ b/src/main/java/org/apricotgauge/target/RetryCharge.java
@@ -6,19 +6,19 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * What one request costs of the retries that the fleet may make, at the guard of its target.
+ * Charges one request to the retry budget at the guard of its target.
  *
  * <pre>{@code
- * if (!pass.tryPass()) {
+ * if (!charge.tryCharge()) {
  *     return notRun(NotRunReason.RETRIES_SPENT);
  * }
- * boolean paid = pass.tryPayNext();           // the target failed it: its next run is paid for
+ * boolean prepaid = charge.tryPrepayRetry();  // the target failed the request: pays for its retry
  * }</pre>
  *
- * <p>Each guard has an equal part of the retries, so that they hold in sum. The parts of those
- * whose targets fail would stand unused, since nothing is sent there again, while those of the few
- * healthy ones are spent: so the guard whose target fails a request pays for its next run.
- * Thread-safe.
+ * <p>Each guard has an equal share of the fleet's retry allowance, so that the sum is bounded. The
+ * shares of guards whose targets fail would stay unused, since no retries are sent there, while
+ * those of the few healthy targets run out. Therefore the guard whose target fails a request pays
+ * for its next run. Thread-safe.
  */
 final class RetryCharge {
     private final Kind mKind;
@@ -26,54 +26,54 @@
     private final Ticker mTicker;
     private final Runnable mOnRetry;
 
-    /** What the request is to its service. */
+    /** Role of the request in the traffic of its service. */
     private enum Kind {
-        /** The first run of a caller's request; retries are a share of these. */
+        /** The first run of a caller's request; the retry budget is a share of these. */
         FIRST_RUN,
-        /** The first run of a call; what targets send each other is no traffic of callers. */
+        /** The first run of a nested call, which doesn't count as callers' traffic. */
         NESTED_CALL,
-        /** A call of a repeated run. */
+        /** A nested call made by a retry. */
         NESTED_CALL_OF_RETRY,
-        /** A further run. */
+        /** A retry. */
         RETRY,
-        /** A further run that the guard of the one before has paid for. */
+        /** A retry that the guard of the previous run has paid for. */
         PREPAID_RETRY
     }
 
     /**
-     * Creates the pass of one request.
+     * Creates the charge of one request.
      *
      * @param headers headers of the hop
-     * @param budget this guard's part of the service's retries
-     * @param ticker present time
-     * @param onRepeat called when a further run starts
+     * @param budget this guard's share of the service's retry budget
+     * @param ticker clock of the budget
+     * @param onRetry called when a retry is let through
      */
-    RetryCharge(HttpFields headers, RetryBudget budget, Ticker ticker, Runnable onRepeat) {
+    RetryCharge(HttpFields headers, RetryBudget budget, Ticker ticker, Runnable onRetry) {
         mKind = kindOf(headers);
         mBudget = budget;
         mTicker = ticker;
-        mOnRetry = onRepeat;
+        mOnRetry = onRetry;
     }
 
     private static Kind kindOf(HttpFields headers) {
-        String repeat = headers.get(HeaderNames.RETRY);
-        if (HeaderNames.RETRY_PREPAID.equals(repeat)) {
+        String retryHeader = headers.get(HeaderNames.RETRY);
+        if (HeaderNames.RETRY_PREPAID.equals(retryHeader)) {
             return Kind.PREPAID_RETRY;
         }
-        if (HeaderNames.RETRY_OF_PARENT.equals(repeat)) {
+        if (HeaderNames.RETRY_OF_PARENT.equals(retryHeader)) {
             return Kind.NESTED_CALL_OF_RETRY;
         }
-        if (repeat != null) {
+        if (retryHeader != null) {
             return Kind.RETRY;
         }
         return headers.contains(HeaderNames.NESTED_CALL) ? Kind.NESTED_CALL : Kind.FIRST_RUN;
     }
 
-    /** Asked just before the request goes to its target; false if the budget is spent. */
+    /** Charges the request just before it is sent; false if the budget is spent. */
     boolean tryCharge() {
         switch (mKind) {
             case FIRST_RUN -> mBudget.onRequest();
-            // Turned away, it would fail a run that has been paid for; so it is charged afterwards.
+            // A rejection would fail a retry that is paid for, so the budget may become negative.
             case NESTED_CALL_OF_RETRY -> mBudget.charge();
             case RETRY -> {
                 if (!mBudget.tryRetry(mTicker.millis())) {
@@ -81,7 +81,7 @@
                 }
             }
             default -> {
-                // Costs nothing here.
+                // Nested calls are not charged, and a prepaid retry was charged before.
             }
         }
         if (mKind == Kind.RETRY || mKind == Kind.PREPAID_RETRY) {
@@ -91,14 +91,14 @@
     }
 
     /**
-     * Pays for another run of a request that has not failed yet; false unless enough is left for
-     * those that have.
+     * Pays for a retry of a request that has not failed yet; false unless the budget is at least
+     * half full, so that enough is left for retries of failed requests.
      */
     boolean tryPrepayEarlyRetry() {
         return mBudget.tryRetryIfHalfFull(mTicker.millis());
     }
 
-    /** Pays for another run of the request; false if the budget is spent. */
+    /** Pays for the next retry of the request; false if the budget is spent. */
     boolean tryPrepayRetry() {
         return mBudget.tryRetry(mTicker.millis());
     }
--- a/src/main/java/org/apricotgauge/target/RunDeadline.java
+++ b/src/main/java/org/apricotgauge/target/RunDeadline.java
@@ -3,34 +3,34 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * How long an attempt may run at its target.
+ * Deadline by which an attempt must end at its target.
  *
  * <pre>{@code
- * long leftMillis = time.leftMillis(ticker.millis());
+ * long remainingMillis = deadline.remainingMillis(ticker.millis());
  * }</pre>
  *
- * <p>The attempt itself bears the latest moment at which it may <i>start</i>, which lies a little
- * before the entry's deadline, so that the guard's refusal still arrives in time. A run that has
- * started may use all the time there is: cut at the latest start, an answer of the last tenth of a
- * second would be thrown away, and a stopping node would seem to give up work in flight.
+ * <p>The attempt itself carries its latest <i>start</i>, which lies shortly before the entry's
+ * deadline so that a rejection by the guard still arrives in time. A run that has started may use
+ * all the remaining time. If it were aborted at the latest start, an answer in the last tenth of a
+ * second would be lost, and a stopping node would appear to abandon requests in flight.
  *
  * @param deadlineMillis when the entry's deadline passes, by the guard's clock
  */
 record RunDeadline(long deadlineMillis) {
 
     /**
-     * Reads the time of an attempt that arrives.
+     * Returns the deadline of an attempt that has just arrived.
      *
-     * @param toldMillis time left when the entry sent it; not positive if it did not say
-     * @param latestStartMillis the latest start, by the guard's clock
-     * @param nowMillis the guard's clock
+     * @param timeoutMillis time left as stated by the entry; not positive if it stated none
+     * @param latestStartMillis the attempt's latest start, by the guard's clock
+     * @param nowMillis reading of the guard's clock
      */
-    static RunDeadline of(long toldMillis, long latestStartMillis, long nowMillis) {
+    static RunDeadline of(long timeoutMillis, long latestStartMillis, long nowMillis) {
         Checks.inRange("nowMillis", nowMillis, Long.MIN_VALUE / 2, Long.MAX_VALUE / 2);
-        return new RunDeadline(toldMillis > 0 ? nowMillis + toldMillis : latestStartMillis);
+        return new RunDeadline(timeoutMillis > 0 ? nowMillis + timeoutMillis : latestStartMillis);
     }
 
-    /** Returns the time left, at least one millisecond. */
+    /** Returns the time left to the deadline, at least one millisecond. */
     long remainingMillis(long nowMillis) {
         return Math.max(1, deadlineMillis - nowMillis);
     }
--- a/src/main/java/org/apricotgauge/target/RunIdentity.java
+++ b/src/main/java/org/apricotgauge/target/RunIdentity.java
@@ -11,7 +11,7 @@
 import org.apricotgauge.model.Member;
 import org.eclipse.jetty.server.Request;
 
-/** Which request a run is for: by its id, and by what makes it the same as others. Thread-safe. */
+/** Identifies the request of a run by its id and its fingerprint. Thread-safe. */
 final class RunIdentity {
     private final String mId;
     private final Request mRequest;
@@ -19,7 +19,7 @@
     private final BodyHash mBodyHash = new BodyHash();
     private final ReplayableBody mReplayableBody;
 
-    /** Reads the head of an attempt as an entry sent it. */
+    /** Creates the identity from the head of an attempt, as the entry sent it. */
     RunIdentity(Request request, SiteDialect dialect) {
         String member = request.getHeaders().get(HeaderNames.MEMBER);
         mId = dialect.requestId(request.getHeaders());
@@ -35,31 +35,31 @@
         return mId;
     }
 
-    /** Returns the fingerprint, as far as the body has gone by. */
+    /** Returns the fingerprint; its body hash is unknown until enough of the body was read. */
     Fingerprint fingerprint() {
         return new Fingerprint(mHeadHash, mBodyHash.value());
     }
 
-    /** Returns the body, which tells the fingerprint as it is read. */
+    /** Returns the body, which is hashed for the fingerprint while it is read. */
     org.eclipse.jetty.client.Request.Content body() {
         org.eclipse.jetty.client.Request.Content body = mReplayableBody.open();
         return mBodyHash.isComplete() ? body : new HashingBody(body, mBodyHash);
     }
 
     /**
-     * Goes on once the request can be told from others with the same head, if one of those was at
-     * work in a crash; at once otherwise.
+     * Runs an action once the fingerprint is complete, if a request with the same head was running
+     * during a crash; at once otherwise.
      */
-    void whenIdentified(QuarantineTable quarantine, Runnable next) {
+    void whenIdentified(QuarantineTable quarantine, Runnable action) {
         if (mBodyHash.isComplete() || !quarantine.isSuspectHead(mHeadHash)) {
-            next.run();
+            action.run();
             return;
         }
-        // A body that breaks off meanwhile fails the attempt that reads it next.
-        mReplayableBody.readAhead(mBodyHash).whenComplete((read, failure) -> next.run());
+        // A body that is truncated here fails the attempt when it reads the body next.
+        mReplayableBody.readAhead(mBodyHash).whenComplete((read, failure) -> action.run());
     }
 
-    /** Returns whether others with the same head are held, and this one's body is not known. */
+    /** Returns whether a request with the same head is quarantined and this body is unknown. */
     boolean isUnidentified(QuarantineTable quarantine) {
         return !mBodyHash.isComplete() && quarantine.isQuarantinedHead(mHeadHash);
     }
--- a/src/main/java/org/apricotgauge/target/RunMonitor.java
+++ b/src/main/java/org/apricotgauge/target/RunMonitor.java
@@ -9,19 +9,19 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * What one run at a target shows of the target, while it goes on and when it ends.
+ * Monitors one run and reports what it shows about the target's health, before and at its end.
  *
  * <pre>{@code
- * watch.begin("route-7", usefulMillis, leftMillis, this::hung);
- * watch.end(ObservedOutcome.SUCCESS, serviceMicros);
+ * monitor.start("route-7", softRemainingMillis, remainingMillis, this::abortForFailover);
+ * monitor.end(ObservedOutcome.SUCCESS, serviceMicros);
  * }</pre>
  *
- * <p>What fails does so early, so that a run that goes on tells of health long before its answer;
- * one that goes on for too long tells of a target that hangs, seconds before its deadline. How a
- * run ended is told once. Thread-safe.
+ * <p>Failures occur early in a run. A run that continues is therefore evidence of health long
+ * before its answer, and one that takes too long is evidence of a hung target seconds before its
+ * deadline. The outcome of a run is reported once. Thread-safe.
  */
 final class RunMonitor {
-    /** How often a run that is beyond its patience is looked at, in each patience. */
+    /** Checks per run timeout of a run that has exceeded its timeout. */
     private static final int CHECKS_PER_TIMEOUT = 4;
 
     private final GuardContext mContext;
@@ -42,68 +42,72 @@
     }
 
     /**
-     * Notes that the run starts, just before its first byte.
+     * Starts monitoring, just before the run is sent.
      *
-     * @param work name of the kind of work it is
-     * @param usefulMillis time within which its answer is of full use
-     * @param leftMillis time left to the request's deadline
-     * @param whenHung called when it is better off at another target; perhaps more than once
+     * @param workKind kind of work of the request
+     * @param softRemainingMillis time left to the request's soft deadline, in milliseconds
+     * @param remainingMillis time left to the request's deadline, in milliseconds
+     * @param onFailover called when the request should be retried at another target; may be called
+     *     more than once
      */
-    void start(String work, long usefulMillis, long leftMillis, Runnable whenHung) {
+    void start(
+            String workKind, long softRemainingMillis, long remainingMillis, Runnable onFailover) {
         long nowMillis = mContext.ticker().millis();
-        HealthGate.Run run = mGate.health().started(work, nowMillis);
+        HealthGate.Run run = mGate.health().started(workKind, nowMillis);
         mRun = run;
         mStartMillis = nowMillis;
-        mMaxRunMillis = leftMillis;
+        mMaxRunMillis = remainingMillis;
         scheduleHealthCheck(run, 0);
-        long patienceMillis = mGate.health().runTimeoutMillis(work, usefulMillis);
-        scheduleHungCheck(patienceMillis, patienceMillis, whenHung);
-        long overdueMicros = mContext.observer().unresponsiveAfterMicros(mGate.target());
-        if (overdueMicros < TimeUnit.MILLISECONDS.toMicros(leftMillis)) {
+        long timeoutMillis = mGate.health().runTimeoutMillis(workKind, softRemainingMillis);
+        scheduleHungCheck(timeoutMillis, timeoutMillis, onFailover);
+        long unresponsiveMicros = mContext.observer().unresponsiveAfterMicros(mGate.target());
+        if (unresponsiveMicros < TimeUnit.MILLISECONDS.toMicros(remainingMillis)) {
             mUnresponsiveCheck =
                     mContext.scheduler()
                             .schedule(
                                     () ->
                                             reportOutcome(
-                                                    ObservedOutcome.UNRESPONSIVE, overdueMicros),
-                                    overdueMicros,
+                                                    ObservedOutcome.UNRESPONSIVE,
+                                                    unresponsiveMicros),
+                                    unresponsiveMicros,
                                     TimeUnit.MICROSECONDS);
         }
     }
 
-    private void scheduleHungCheck(long atMillis, long patienceMillis, Runnable whenHung) {
-        if (atMillis >= mMaxRunMillis) {
+    private void scheduleHungCheck(long checkAtMillis, long timeoutMillis, Runnable onFailover) {
+        if (checkAtMillis >= mMaxRunMillis) {
             return;
         }
-        long passedMillis = mContext.ticker().millis() - mStartMillis;
+        long elapsedMillis = mContext.ticker().millis() - mStartMillis;
         mHungCheck =
                 mContext.scheduler()
                         .schedule(
-                                () -> checkHung(atMillis, patienceMillis, whenHung),
-                                Math.max(1, atMillis - passedMillis),
+                                () -> checkHung(checkAtMillis, timeoutMillis, onFailover),
+                                Math.max(1, checkAtMillis - elapsedMillis),
                                 TimeUnit.MILLISECONDS);
     }
 
-    private void checkHung(long atMillis, long patienceMillis, Runnable whenHung) {
+    private void checkHung(long checkAtMillis, long timeoutMillis, Runnable onFailover) {
         HealthGate.Run run = mRun;
         if (mOutcomeReported.get()) {
             return;
         }
-        HealthGate.TimeoutDiagnosis silence =
+        HealthGate.TimeoutDiagnosis diagnosis =
                 mGate.health().diagnoseTimeout(run, mContext.ticker().millis());
-        if (silence == HealthGate.TimeoutDiagnosis.HUNG) {
-            reportOutcome(ObservedOutcome.UNRESPONSIVE, TimeUnit.MILLISECONDS.toMicros(atMillis));
+        if (diagnosis == HealthGate.TimeoutDiagnosis.HUNG) {
+            reportOutcome(
+                    ObservedOutcome.UNRESPONSIVE, TimeUnit.MILLISECONDS.toMicros(checkAtMillis));
         } else {
             notifyHealth();
             scheduleHungCheck(
-                    atMillis + patienceMillis / CHECKS_PER_TIMEOUT, patienceMillis, whenHung);
+                    checkAtMillis + timeoutMillis / CHECKS_PER_TIMEOUT, timeoutMillis, onFailover);
         }
-        if (silence != HealthGate.TimeoutDiagnosis.SLOW) {
-            whenHung.run();
+        if (diagnosis != HealthGate.TimeoutDiagnosis.SLOW) {
+            onFailover.run();
         }
     }
 
-    /** Takes in how the run ended. */
+    /** Stops the checks and reports the outcome, unless one was reported before. */
     void end(ObservedOutcome outcome, long serviceMicros) {
         cancel(mHealthCheck);
         cancel(mHungCheck);
@@ -112,22 +116,22 @@
     }
 
     /**
-     * Notes that the connection to the target broke before the answer was whole.
+     * Reports that the connection to the target broke before the answer was complete.
      *
-     * @return completes once it is known whether the target has ended
+     * @return completes once it is determined whether the target has ended, or that took too long
      */
     CompletableFuture<Void> reportBroken() {
         return mContext.exitDetector().reportBrokenRun(mGate.target(), mIdentity.toBrokenRun());
     }
 
-    private void scheduleHealthCheck(HealthGate.Run run, long passedMillis) {
+    private void scheduleHealthCheck(HealthGate.Run run, long elapsedMillis) {
         long checkMillis = run.checkMillis();
         if (checkMillis < mMaxRunMillis) {
             mHealthCheck =
                     mContext.scheduler()
                             .schedule(
                                     () -> reportStillRunning(run),
-                                    Math.max(1, checkMillis - passedMillis),
+                                    Math.max(1, checkMillis - elapsedMillis),
                                     TimeUnit.MILLISECONDS);
         }
     }
@@ -150,7 +154,7 @@
             case TARGET_ERROR -> updateHealth((run, now) -> mGate.health().ended(run, true, now));
             case TIMEOUT, UNRESPONSIVE -> updateHealth(mGate.health()::endedWithoutAnswer);
             default -> {
-                // Load, the path or the caller: nothing about the target's health.
+                // Caused by load, the path or the caller: no evidence about the target's health.
             }
         }
         mContext.observer().onOutcome(mGate.target(), outcome, serviceMicros);
--- a/src/main/java/org/apricotgauge/target/SendCheck.java
+++ b/src/main/java/org/apricotgauge/target/SendCheck.java
@@ -6,10 +6,10 @@
 
 /**
  * Decides whether a request may be sent to its target: once it has a slot, and again just before
- * its first byte.
+ * its first byte is written.
  *
  * <pre>{@code
- * NotRunReason refused = check.atSlot(caution, pass);   // null if it may be sent
+ * NotRunReason rejection = check.checkAdmitted(riskTolerance, retryCharge); // null if none
  * }</pre>
  */
 final class SendCheck {
@@ -24,33 +24,35 @@
     }
 
     /**
-     * Returns why a request that has its slot may not be sent, or null if it may.
+     * Returns why a request that holds a slot may not be sent, or null if it may.
      *
-     * @param caution how much of a risk it may run
-     * @param pass pays for it if it was sent before
+     * @param riskTolerance how much risk of a degraded target the request tolerates
+     * @param retryCharge charges the retry budget if the request is a retry
      */
-    NotRunReason checkAdmitted(HealthGate.RiskTolerance caution, RetryCharge pass) {
-        NotRunReason unfit = checkTarget();
-        if (unfit != null) {
-            return unfit;
+    NotRunReason checkAdmitted(HealthGate.RiskTolerance riskTolerance, RetryCharge retryCharge) {
+        NotRunReason rejection = checkTarget();
+        if (rejection != null) {
+            return rejection;
         }
-        if (!mGate.health().mayStart(caution, mContext.ticker().millis())) {
+        if (!mGate.health().mayStart(riskTolerance, mContext.ticker().millis())) {
             return NotRunReason.TARGET_SUSPECT;
         }
-        return pass.tryCharge() ? null : NotRunReason.RETRIES_SPENT;
+        return retryCharge.tryCharge() ? null : NotRunReason.RETRIES_SPENT;
     }
 
     /**
-     * Returns why no byte of a request may be written, or null if it starts.
+     * Returns why no byte of a request may be written, or null if the run has started.
      *
-     * <p>Since the slot was given, while the request waited for a connection, the target may have
-     * said that it leaves, and would get work after the time for which it serves on; the third
-     * target may have ended under another copy of the request; or a fence was answered "not run".
+     * <p>The checks are repeated because the state may have changed while the request waited for a
+     * connection. The target may have announced that it is leaving and would receive the request
+     * after the time for which it still serves. The request may have been quarantined because a
+     * third target crashed while it ran a duplicate of it. A fence may have been answered with "not
+     * run".
      */
     NotRunReason checkBeforeFirstByte(Attempt attempt) {
-        NotRunReason unfit = checkTarget();
-        if (unfit != null) {
-            return unfit;
+        NotRunReason rejection = checkTarget();
+        if (rejection != null) {
+            return rejection;
         }
         if (mContext.quarantine().remainingQuarantineMillis(mIdentity.fingerprint()) > 0) {
             return NotRunReason.QUARANTINED;
--- a/src/main/java/org/apricotgauge/target/TargetGate.java
+++ b/src/main/java/org/apricotgauge/target/TargetGate.java
@@ -22,15 +22,15 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * The slots of one target with the requests that wait for them.
+ * Admits requests to the slots of one target and queues those that have to wait.
  *
  * <pre>{@code
- * gate.enter(ticket, work);   // work.admitted() or work.refused(...), now or later
- * gate.leave(ticket, Result.ANSWERED, serviceMicros);
+ * gate.submit(ticket, listener);   // listener.admitted() or listener.rejected(...), now or later
+ * gate.release(ticket, RunResult.ANSWERED, serviceMicros);
  * }</pre>
  *
- * <p>Each entered work hears exactly one of its two methods, on the thread that freed the slot or
- * found the deadline too near. Thread-safe.
+ * <p>Exactly one method of each listener is called unless its ticket is cancelled, on the thread
+ * that freed the slot or found the deadline too close. Thread-safe.
  */
 final class TargetGate {
     private static final double PERMILLE = 1_000.0;
@@ -38,7 +38,7 @@
     private final Target mTarget;
     private final URI mUri;
     private final AdmissionQueue mQueue;
-    private final TargetLimitTracker mLimit;
+    private final TargetLimitTracker mLimitTracker;
     private final Ticker mTicker;
     private final Runnable mOnQueued;
     private volatile boolean mReplaced;
@@ -46,26 +46,26 @@
     private final HealthGate mHealth = new HealthGate();
     private final ConcurrentMap<Long, AdmissionListener> mWaiting = new ConcurrentHashMap<>();
 
-    /** Something that needs a slot. */
+    /** Receives the decision about a ticket that was submitted. */
     interface AdmissionListener {
-        /** Called once the work has a slot; it must leave the gate once. */
+        /** Called once the ticket has a slot, which must be released exactly once. */
         void admitted();
 
-        /** Called once the work will get no slot. */
-        void rejected(Rejection refusal);
+        /** Called once it is decided that the ticket gets no slot. */
+        void rejected(Rejection rejection);
     }
 
     TargetGate(
             Target target,
-            AdmissionConfig.SlotUse use,
+            AdmissionConfig.SlotUse slotUse,
             Ticker ticker,
-            LimitReporter limits,
+            LimitReporter limitReporter,
             Runnable onQueued) {
         mOnQueued = onQueued;
         mTarget = target;
         mUri = Hosts.uriOf(new Address(target.host(), target.port()));
-        mQueue = new AdmissionQueue(AdmissionConfig.forSlots(target.slots(), use));
-        mLimit = new TargetLimitTracker(target, mQueue, limits);
+        mQueue = new AdmissionQueue(AdmissionConfig.forSlots(target.slots(), slotUse));
+        mLimitTracker = new TargetLimitTracker(target, mQueue, limitReporter);
         mTicker = ticker;
     }
 
@@ -78,7 +78,7 @@
         return mUri;
     }
 
-    /** Notes that another target has the address by now; this one is gone for good. */
+    /** Records that another target now has the address; this target was removed for good. */
     void markReplaced() {
         mReplaced = true;
     }
@@ -88,51 +88,50 @@
     }
 
     /**
-     * Takes what the target says of itself with an answer.
+     * Handles the notice of the target's state in one of its answers.
      *
      * @param ran whether the target ran the request
-     * @param sentMillis when the request that it answers was sent
+     * @param sentMillis when the request was sent that the answer belongs to
      */
     void handleNotice(TargetNotice notice, boolean ran, long sentMillis) {
         mLeaving |= notice.leaving();
-        apply(mLimit.handleNotice(notice, ran, sentMillis, mTicker.millis()));
+        apply(mLimitTracker.handleNotice(notice, ran, sentMillis, mTicker.millis()));
     }
 
-    /** Takes a limit that an entry was told by the target. */
+    /** Handles a rate limit that an entry received from the target. */
     void handleEntryLimit(StartLimit limit) {
-        mLimit.handleEntryLimit(limit, mTicker.millis());
+        mLimitTracker.handleEntryLimit(limit, mTicker.millis());
     }
 
     HealthGate health() {
         return mHealth;
     }
 
-    /** Returns how likely the target is to be sick, as others are told. */
+    /** Returns the probability that the target is degraded, as reported to entries. */
     DegradationEstimate.Report healthReport() {
         long nowMillis = mTicker.millis();
-        DegradationEstimate.Report told = mHealth.estimate(nowMillis).toReport(nowMillis);
+        DegradationEstimate.Report report = mHealth.estimate(nowMillis).toReport(nowMillis);
         return mReplaced
                 ? new DegradationEstimate.Report(
-                        (int) PERMILLE, told.baselinePermille(), told.decayMillis())
-                : told;
+                        (int) PERMILLE, report.baselinePermille(), report.decayMillis())
+                : report;
     }
 
-    void submit(Ticket ticket, AdmissionListener work) {
-        // Noted before it is offered: a slot may come free, on another thread, before offer
-        // returns.
-        mWaiting.put(ticket.id(), work);
-        AdmissionDecision offer = mQueue.offer(ticket, mTicker.millis());
-        if (offer instanceof AdmissionDecision.Admitted) {
+    void submit(Ticket ticket, AdmissionListener listener) {
+        // Added before the offer: another thread may free a slot before offer returns.
+        mWaiting.put(ticket.id(), listener);
+        AdmissionDecision decision = mQueue.offer(ticket, mTicker.millis());
+        if (decision instanceof AdmissionDecision.Admitted) {
             admit(ticket);
-        } else if (offer instanceof AdmissionDecision.Rejected refused) {
-            reject(refused.rejection());
-        } else if (offer instanceof AdmissionDecision.Queued queued) {
+        } else if (decision instanceof AdmissionDecision.Rejected rejected) {
+            reject(rejected.rejection());
+        } else if (decision instanceof AdmissionDecision.Queued queued) {
             queued.displaced().forEach(this::reject);
             mOnQueued.run();
         }
     }
 
-    /** Returns the time left in which the answer to a request is of full use, in milliseconds. */
+    /** Returns the time left to the ticket's soft deadline, in milliseconds; at least 1. */
     long softDeadlineRemainingMillis(Ticket ticket) {
         return Math.max(1, ticket.softDeadlineMillis() - mTicker.millis());
     }
@@ -141,7 +140,7 @@
         apply(mQueue.release(ticket, result, serviceMicros, mTicker.millis()));
     }
 
-    /** Takes out work that still waits; false if it has a slot or was refused already. */
+    /** Removes a queued ticket; false if it has a slot or was rejected already. */
     boolean cancel(Ticket ticket) {
         boolean cancelled = mQueue.cancel(ticket);
         if (cancelled) {
@@ -150,7 +149,7 @@
         return cancelled;
     }
 
-    /** Answers what can't be served any more; called every few milliseconds. */
+    /** Rejects tickets that can't meet their deadline; called every few milliseconds. */
     void expire() {
         if (mQueue.queued() > 0) {
             apply(mQueue.expire(mTicker.millis()));
@@ -159,24 +158,26 @@
 
     /**
      * Returns requests running and waiting, in permille of the slots usable now; all slots count as
-     * taken while the target's limit lets nothing start.
+     * used while the target's rate limit permits no start.
      */
     int loadPermille() {
         int usable = Math.max(1, mQueue.concurrencyLimit());
         int inUse = mQueue.inFlight() + mQueue.queued();
-        boolean isPaced = mQueue.isRateLimited(mTicker.millis());
-        int taken = isPaced ? Math.max(usable + mQueue.queued(), inUse) : inUse;
-        return (int) Math.round(PERMILLE * taken / usable);
+        boolean isRateLimited = mQueue.isRateLimited(mTicker.millis());
+        int usedSlots = isRateLimited ? Math.max(usable + mQueue.queued(), inUse) : inUse;
+        return (int) Math.round(PERMILLE * usedSlots / usable);
     }
 
-    /** Adds to the head of an answer what entries should know of the target. */
+    /** Adds the target's load, health and announcements to the headers of an answer. */
     void addHeaders(HttpFields.Mutable headers) {
         headers.put(HeaderNames.LOAD_PERMILLE, loadPermille());
         headers.put(HeaderNames.HEALTH, healthReport().toText());
         if (mLeaving) {
             headers.put(HeaderNames.TARGET_LEAVING, "1");
         }
-        mLimit.inForce().ifPresent(limit -> headers.put(HeaderNames.TARGET_LIMIT, limit.toText()));
+        mLimitTracker
+                .inForce()
+                .ifPresent(limit -> headers.put(HeaderNames.TARGET_LIMIT, limit.toText()));
     }
 
     int queued() {
@@ -197,16 +198,16 @@
     }
 
     private void admit(Ticket ticket) {
-        AdmissionListener work = mWaiting.remove(ticket.id());
-        if (work != null) {
-            work.admitted();
+        AdmissionListener listener = mWaiting.remove(ticket.id());
+        if (listener != null) {
+            listener.admitted();
         }
     }
 
-    private void reject(Rejection refusal) {
-        AdmissionListener work = mWaiting.remove(refusal.ticket().id());
-        if (work != null) {
-            work.rejected(refusal);
+    private void reject(Rejection rejection) {
+        AdmissionListener listener = mWaiting.remove(rejection.ticket().id());
+        if (listener != null) {
+            listener.rejected(rejection);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/target/TargetGateRegistry.java
+++ b/src/main/java/org/apricotgauge/target/TargetGateRegistry.java
@@ -6,7 +6,7 @@
 import org.apricotgauge.model.Target;
 import org.apricotgauge.time.Ticker;
 
-/** The gates of a VM's targets, made when first needed. Thread-safe. */
+/** The {@link TargetGate}s of a VM's targets, created on first use. Thread-safe. */
 final class TargetGateRegistry {
     private final ConcurrentMap<String, TargetGate> mGates = new ConcurrentHashMap<>();
     private final AdmissionConfig.SlotUse mSlotUse;
@@ -15,21 +15,24 @@
     private final Runnable mOnQueued;
 
     /**
-     * Creates the gates.
+     * Creates a registry without gates.
      *
-     * @param use who else uses the targets' slots
-     * @param limits takes changes of the targets' limits
-     * @param onQueued runs whenever a request has to wait at one of them
+     * @param slotUse who else uses the targets' slots
+     * @param limitReporter reports changes of the targets' rate limits
+     * @param onQueued called whenever a request is queued at one of the gates
      */
     TargetGateRegistry(
-            AdmissionConfig.SlotUse use, Ticker ticker, LimitReporter limits, Runnable onQueued) {
-        mLimitReporter = limits;
-        mSlotUse = use;
+            AdmissionConfig.SlotUse slotUse,
+            Ticker ticker,
+            LimitReporter limitReporter,
+            Runnable onQueued) {
+        mLimitReporter = limitReporter;
+        mSlotUse = slotUse;
         mOnQueued = onQueued;
         mTicker = ticker;
     }
 
-    /** Returns the gate of a target; a new one if its slots or address changed. */
+    /** Returns the gate of a target; a new one if its slots or address have changed. */
     TargetGate gateOf(Target target) {
         TargetGate gate = mGates.get(target.id());
         if (gate != null && gate.target().equals(target)) {
@@ -37,14 +40,14 @@
         }
         return mGates.compute(
                 target.id(),
-                (id, old) ->
-                        old != null && old.target().equals(target)
-                                ? old
+                (id, present) ->
+                        present != null && present.target().equals(target)
+                                ? present
                                 : new TargetGate(
                                         target, mSlotUse, mTicker, mLimitReporter, mOnQueued));
     }
 
-    /** Refuses what can't be served in time any more; returns whether requests still wait. */
+    /** Rejects requests that can't meet their deadline; returns whether any are still queued. */
     boolean expire() {
         boolean queued = false;
         for (TargetGate gate : mGates.values()) {
--- a/src/main/java/org/apricotgauge/target/TargetLimitTracker.java
+++ b/src/main/java/org/apricotgauge/target/TargetLimitTracker.java
@@ -8,11 +8,11 @@
 import org.apricotgauge.model.Target;
 
 /**
- * Keeps a target's queue to the limit that the target names in its answers, for as long as it does.
+ * Applies the rate limit that a target declares in its answers to the target's queue.
  *
- * <p>All requests pass the guard beside the target, so that one count is that of all nodes. Not all
- * answers arrive in the order in which they were given: only one to a request that was sent after
- * the limit was last named shows that it is lifted. Thread-safe.
+ * <p>All requests pass the guard beside the target, so that limiting starts here limits those of
+ * all nodes. Answers may arrive out of order: only an answer to a request that was sent after the
+ * limit was last declared can lift it by omitting it. Thread-safe.
  */
 final class TargetLimitTracker {
     private final Target mTarget;
@@ -23,27 +23,27 @@
     private boolean mAnswered;
 
     /**
-     * Creates what keeps a queue to no limit.
+     * Creates a tracker without a limit.
      *
-     * @param report takes changes of the limit
+     * @param reporter reports changes of the limit
      */
-    TargetLimitTracker(Target target, AdmissionQueue queue, LimitReporter report) {
+    TargetLimitTracker(Target target, AdmissionQueue queue, LimitReporter reporter) {
         mTarget = target;
         mQueue = queue;
-        mReporter = report;
+        mReporter = reporter;
     }
 
-    /** Returns the limit in force. */
+    /** Returns the limit in force; empty if there is none. */
     Optional<StartLimit> inForce() {
         return Optional.ofNullable(mLimit);
     }
 
     /**
-     * Takes what the target says with an answer; returns what may start now.
+     * Handles the notice in an answer of the target; returns the queued requests that may start.
      *
-     * @param ran whether the target ran the request; one that turns it away is in need, and does
-     *     not lift its limit by leaving it out
-     * @param sentMillis when the request that it answers was sent
+     * @param ran whether the target ran the request; a target that rejects it is overloaded, and
+     *     does not lift its limit by omitting it
+     * @param sentMillis when the request was sent that the answer belongs to
      */
     synchronized QueueChanges handleNotice(
             TargetNotice notice, boolean ran, long sentMillis, long nowMillis) {
@@ -65,7 +65,7 @@
         return mQueue.removeStartLimit(nowMillis);
     }
 
-    /** Takes a limit that an entry was told; believed until the target has answered this guard. */
+    /** Applies a limit that an entry received, unless the target has answered this guard before. */
     synchronized void handleEntryLimit(StartLimit limit, long nowMillis) {
         if (!mAnswered) {
             setLimit(limit, nowMillis);
--- a/src/main/java/org/apricotgauge/target/TargetProbe.java
+++ b/src/main/java/org/apricotgauge/target/TargetProbe.java
@@ -7,24 +7,24 @@
 import org.eclipse.jetty.client.Connection;
 import org.eclipse.jetty.client.HttpClient;
 
-/** Finds out whether anything listens at a target's address. */
+/** Checks whether a process listens at a target's address. */
 @FunctionalInterface
 interface TargetProbe {
 
-    /** What becomes of a connection to a target. */
+    /** Result of a connection attempt to a target. */
     enum Result {
-        /** It is accepted: the process lives. */
+        /** The connection was accepted: the process is running. */
         ACCEPTED,
-        /** It is refused: no process listens. */
+        /** The connection was refused: no process listens. */
         REFUSED,
-        /** Nothing is heard in time; the machine or the way to it may be at fault. */
+        /** No response in time; the machine or the network path may have failed. */
         UNREACHABLE
     }
 
-    /** Opens a connection to the target, and closes it at once. */
+    /** Connects to the target and closes the connection at once. */
     CompletableFuture<Result> probe(Target target);
 
-    /** Returns a probe that connects as the client does, without a request. */
+    /** Returns a probe that opens connections of an HTTP client without sending a request. */
     static TargetProbe using(HttpClient client) {
         return target ->
                 client.resolveDestination(client.newRequest(target.host(), target.port()))
--- a/src/main/java/org/apricotgauge/target/TargetRequestFactory.java
+++ b/src/main/java/org/apricotgauge/target/TargetRequestFactory.java
@@ -6,37 +6,37 @@
 import org.apricotgauge.model.Member;
 import org.eclipse.jetty.client.Request;
 
-/** Makes the request that a target gets out of the one that its guard got. */
+/** Creates the request to a target from the one that its guard received. */
 final class TargetRequestFactory {
 
     private TargetRequestFactory() {}
 
     /**
-     * Returns the request, not sent.
+     * Creates the request without sending it.
      *
-     * @param leftMillis time left until the answer is of no more use, in milliseconds
+     * @param remainingMillis time left until the request's deadline, in milliseconds
      */
     static Request create(
             GuardContext context,
             TargetGate gate,
             Ticket ticket,
-            org.eclipse.jetty.server.Request from,
+            org.eclipse.jetty.server.Request source,
             RunIdentity identity,
-            long leftMillis) {
-        Request to =
+            long remainingMillis) {
+        Request request =
                 context.client()
                         .newRequest(gate.uri())
-                        .method(from.getMethod())
-                        .path(from.getHttpURI().getPathQuery());
-        to.headers(
+                        .method(source.getMethod())
+                        .path(source.getHttpURI().getPathQuery());
+        request.headers(
                 headers -> {
-                    ForwardedHeaders.copyRequest(from.getHeaders(), headers);
+                    ForwardedHeaders.copyRequest(source.getHeaders(), headers);
                     context.dialect()
                             .addTargetHeaders(
-                                    headers, gate.target().id(), leftMillis, memberOf(ticket));
+                                    headers, gate.target().id(), remainingMillis, memberOf(ticket));
                 });
-        to.body(identity.body());
-        return to;
+        request.body(identity.body());
+        return request;
     }
 
     private static Optional<String> memberOf(Ticket ticket) {
--- a/src/main/java/org/apricotgauge/target/TargetRunLog.java
+++ b/src/main/java/org/apricotgauge/target/TargetRunLog.java
@@ -9,31 +9,31 @@
 import org.jboss.logging.Logger;
 
 /**
- * Writes one line for each request that a guard sends to its target, for as many as there is room.
+ * Logs one line for each request that a guard sends to its target, at a bounded rate.
  *
  * <pre>{@code
- * log.started(new RunLog.Started(id, fingerprint, target, attempt, view, 4, 1));
+ * log.started(new TargetRunLog.Started(id, fingerprint, target, attempt, view, 4, 1));
  * }</pre>
  *
- * <p>The guard is the last to look at whether a target takes work. Its line tells by which view of
- * the site it let the request pass, and how long ago it looked when the first byte went out.
+ * <p>The guard makes the last check whether a target accepts requests. The line states which view
+ * of the site it used, and how much time passed from the check to the first byte.
  */
 final class TargetRunLog {
-    /** Lines of one node in a second: about 8 KB, whatever the load. */
+    /** Most lines of one node per second: about 8 KB, whatever the load. */
     static final int LINES_PER_SECOND = 40;
 
     private final BoundedLog mLog;
 
     /**
-     * A request whose first byte goes to the target.
+     * A request whose first byte is about to be written to the target.
      *
-     * @param id identifier that the caller gave the request
-     * @param fingerprint what makes the request the same as others
+     * @param id request id that the caller assigned
+     * @param fingerprint hashes of the request's head and body, equal for duplicates
      * @param target id of the target
-     * @param attempt address of the attempt, as the entry sent it
-     * @param view what this node knew of the site when it let the request pass
-     * @param queuedMillis time from the request's arrival here to its slot
-     * @param connectMillis time from the slot to the first byte
+     * @param attempt value of the attempt header, as the entry sent it
+     * @param view this node's view of the site when it admitted the request
+     * @param queuedMillis time from the request's arrival at the guard to its admission
+     * @param connectMillis time from the admission to the first byte
      */
     record Started(
             String id,
@@ -46,7 +46,7 @@
 
     private record Line(Started run, long leftOut) {}
 
-    /** A change of a target's limit, in requests a second; null where there is none. */
+    /** A change of a target's rate limit, in requests per second; null stands for no limit. */
     private record LimitChange(String target, Double perSecond, Double before, long leftOut) {}
 
     private record UnreadableLimit(String target, String text, long leftOut) {}
@@ -61,7 +61,7 @@
         mLog.info("run started", leftOut -> new Line(run, leftOut));
     }
 
-    /** Tells that a target names another limit than before, or none any more. */
+    /** Logs that a target declares a different rate limit than before, or none any more. */
     void limitChanged(Target target, Optional<StartLimit> limit, Optional<StartLimit> before) {
         mLog.info(
                 limit.isPresent() ? "target names a limit" : "target names no limit any more",
@@ -73,7 +73,7 @@
         return limit.map(StartLimit::perSecond).orElse(null);
     }
 
-    /** Tells that a target names something as its limit that is none; the known one holds. */
+    /** Logs that a target declares an unreadable rate limit; the last readable one stays. */
     void limitUnreadable(Target target, String text) {
         mLog.info(
                 "limit of a target is unreadable",
--- a/src/main/java/org/apricotgauge/target/package-info.java
+++ b/src/main/java/org/apricotgauge/target/package-info.java
@@ -1,2 +1,2 @@
-/** The targets of a node's own VM: slots, queue, and the last hop of a request. */
+/** The guard of a VM's own targets: admission to their slots and the last hop of a request. */
 package org.apricotgauge.target;
--- a/src/test/java/org/apricotgauge/target/ExitDetectorTest.java
+++ b/src/test/java/org/apricotgauge/target/ExitDetectorTest.java
@@ -42,7 +42,7 @@
         assertThat(mProbes).isEqualTo(1);
     }
 
-    // Guards against taking a target that resets connections for one that crashes.
+    // Guards against reporting a crash of a target that only resets connections.
     @Test
     void acceptedConnectionReportsNothing() {
         mDetector.reportBrokenRun(TARGET, run("a"));
@@ -52,7 +52,7 @@
         assertThat(mReportedRuns).isEmpty();
     }
 
-    // Guards against taking a machine that lost power, or a cut, for a crash.
+    // Guards against reporting a crash when the machine lost power or the network is partitioned.
     @Test
     void unreachableTargetReportsNothing() {
         mDetector.reportBrokenRun(TARGET, run("a"));
@@ -62,7 +62,7 @@
         assertThat(mReportedRuns).isEmpty();
     }
 
-    // Guards against taking a target that was replaced for one that crashed.
+    // Guards against reporting a crash of a target that was replaced.
     @Test
     void drainingTargetIsNotProbed() {
         mAcceptsRequests = false;
@@ -71,26 +71,26 @@
         assertThat(mScheduler.mTasks).isEmpty();
     }
 
-    // Guards against a request that is sent to its next target before the end of this one is known.
+    // Guards against sending a request to its next target before the crash of this one is known.
     @Test
     void futureCompletesAfterTheExitIsReported() {
-        CompletableFuture<Void> told = mDetector.reportBrokenRun(TARGET, run("a"));
+        CompletableFuture<Void> reported = mDetector.reportBrokenRun(TARGET, run("a"));
         mScheduler.runNext();
-        assertThat(told).isNotDone();
+        assertThat(reported).isNotDone();
 
         mProbeResult.complete(TargetProbe.Result.REFUSED);
 
-        assertThat(told).isCompleted();
+        assertThat(reported).isCompleted();
         assertThat(mReportedRuns).hasSize(1);
     }
 
-    // Guards against a caller that waits for a target which does not answer.
+    // Guards against a caller that waits for the probe of an unresponsive target.
     @Test
     void waitIsBounded() {
-        CompletableFuture<Void> told = mDetector.reportBrokenRun(TARGET, run("a"));
+        CompletableFuture<Void> reported = mDetector.reportBrokenRun(TARGET, run("a"));
         mScheduler.runAll();
 
-        assertThat(told).isCompleted();
+        assertThat(reported).isCompleted();
     }
 
     @Test
@@ -109,7 +109,7 @@
         return new BrokenRun(id, new Fingerprint(1, 0), "GET site/x");
     }
 
-    /** Runs what is due when the test says so. */
+    /** Runs scheduled tasks when the test calls for it. */
     private static final class ManualScheduler extends AbstractLifeCycle implements Scheduler {
         private final List<Runnable> mTasks = new ArrayList<>();
 
--- a/src/test/java/org/apricotgauge/target/RetryChargeTest.java
+++ b/src/test/java/org/apricotgauge/target/RetryChargeTest.java
@@ -13,12 +13,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A service of which most targets are sick, and whose retries are bounded over the fleet.
+ * Guards against rejected retries while most targets of a service are degraded: the guards of the
+ * healthy targets run out of budget while those of the degraded ones have some left.
  *
- * <p>Six guards, each with a sixth of the 60 retries and 0.16 a request that the fleet may make in
- * ten seconds. 40 requests a second; two of ten meet one of four sick targets, which fail them, and
- * are sent again to one of the two healthy ones. That is 8 retries a second of the 9.4 that the
- * fleet may make; the parts of the two healthy guards allow 6.
+ * <p>Each of six guards has a sixth of the fleet's allowance of 60 retries and 0.16 per request in
+ * ten seconds. Of 40 requests per second, two of ten fail at one of four degraded targets and are
+ * retried at one of the two healthy ones. That is 8 of the 9.4 retries per second that the fleet
+ * allows, but the shares of the two healthy guards allow only 6.
  */
 class RetryChargeTest {
     private static final int GUARDS = 6;
@@ -32,11 +33,11 @@
 
     @Test
     void budgetsOfFailingGuardsPayForRetriesAtHealthyOnes() {
-        double allAlone = rejectedRetryShare(false);
-        double paid = rejectedRetryShare(true);
+        double notPrepaid = rejectedRetryShare(false);
+        double prepaid = rejectedRetryShare(true);
 
-        assertThat(allAlone).isGreaterThan(0.2);
-        assertThat(paid).isLessThan(0.05);
+        assertThat(notPrepaid).isGreaterThan(0.2);
+        assertThat(prepaid).isLessThan(0.05);
     }
 
     @Test
@@ -50,7 +51,7 @@
         assertThat(chargeOf(null, budget).tryPrepayRetry()).isFalse();
     }
 
-    private double rejectedRetryShare(boolean whoFailsPays) {
+    private double rejectedRetryShare(boolean prepay) {
         mBudgets.clear();
         for (int i = 0; i < GUARDS; i++) {
             mBudgets.add(
@@ -60,32 +61,36 @@
                             ALLOWANCE.allowance(GUARDS).burst(),
                             ALLOWANCE.allowance(GUARDS).perSecond()));
         }
-        int repeats = 0;
-        int refused = 0;
+        int retries = 0;
+        int rejected = 0;
         for (int i = 0; i < 40 * 60; i++) {
             mTicker.advanceMillis(25);
             boolean fails = mRandom.nextInt(10) < 2;
             int target = fails ? HEALTHY + mRandom.nextInt(GUARDS - HEALTHY) : randomHealthyGuard();
-            RetryCharge pass = chargeOf(null, mBudgets.get(target));
-            pass.tryCharge();
+            RetryCharge charge = chargeOf(null, mBudgets.get(target));
+            charge.tryCharge();
             if (fails) {
-                boolean paid = whoFailsPays && pass.tryPrepayRetry();
-                String repeat = paid ? HeaderNames.RETRY_PREPAID : HeaderNames.RETRY_OF_REQUEST;
-                repeats++;
-                refused += chargeOf(repeat, mBudgets.get(randomHealthyGuard())).tryCharge() ? 0 : 1;
+                boolean prepaid = prepay && charge.tryPrepayRetry();
+                String retryHeader =
+                        prepaid ? HeaderNames.RETRY_PREPAID : HeaderNames.RETRY_OF_REQUEST;
+                retries++;
+                rejected +=
+                        chargeOf(retryHeader, mBudgets.get(randomHealthyGuard())).tryCharge()
+                                ? 0
+                                : 1;
             }
         }
-        return (double) refused / repeats;
+        return (double) rejected / retries;
     }
 
     private int randomHealthyGuard() {
         return mRandom.nextInt(HEALTHY);
     }
 
-    private RetryCharge chargeOf(String repeat, RetryBudget budget) {
+    private RetryCharge chargeOf(String retryHeader, RetryBudget budget) {
         HttpFields.Mutable headers = HttpFields.build();
-        if (repeat != null) {
-            headers.put(HeaderNames.RETRY, repeat);
+        if (retryHeader != null) {
+            headers.put(HeaderNames.RETRY, retryHeader);
         }
         return new RetryCharge(headers, budget, mTicker, () -> {});
     }
--- a/src/test/java/org/apricotgauge/target/RunDeadlineTest.java
+++ b/src/test/java/org/apricotgauge/target/RunDeadlineTest.java
@@ -4,16 +4,15 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The time that an attempt may use at its target. */
 class RunDeadlineTest {
 
     @Test
     void runMayUseAllRemainingTimeOfTheEntry() {
-        // The caller's answer comes 50 ms before its time is up, after the latest start of the
-        // attempt. Cut there, the caller of a stopping node would be told "unknown" for nothing.
-        RunDeadline time = RunDeadline.of(1_500, 10_000 + 1_400, 10_000);
+        // The answer comes 50 ms before the caller's deadline and after the attempt's latest start.
+        // An abort at the latest start would make it an "unknown" without need on a stopping node.
+        RunDeadline deadline = RunDeadline.of(1_500, 10_000 + 1_400, 10_000);
 
-        assertThat(time.remainingMillis(11_450)).isEqualTo(50);
+        assertThat(deadline.remainingMillis(11_450)).isEqualTo(50);
     }
 
     @Test
--- a/src/test/java/org/apricotgauge/target/TargetLimitTrackerTest.java
+++ b/src/test/java/org/apricotgauge/target/TargetLimitTrackerTest.java
@@ -54,7 +54,7 @@
                         Optional.empty());
     }
 
-    /** Guards against a limit lifted by an answer that was given before it was named. */
+    /** Guards against lifting a limit by an answer that was given before it was declared. */
     @Test
     void answerToAnEarlierRequestDoesNotLiftTheLimit() {
         mTracker.handleNotice(noticeWithLimit("2"), true, 0, 100);
@@ -64,7 +64,7 @@
         assertThat(mTracker.inForce()).contains(new StartLimit(2));
     }
 
-    /** Guards against a flood at a target whose refusals do not name its limit again. */
+    /** Guards against flooding a target whose rejections don't declare its limit again. */
     @Test
     void rejectionDoesNotLiftTheLimit() {
         mTracker.handleNotice(noticeWithLimit("2"), true, 0, 100);
@@ -83,7 +83,7 @@
         assertThat(mTracker.inForce()).contains(new StartLimit(2));
     }
 
-    /** Guards against a burst from a guard that has restarted and knows no limit. */
+    /** Guards against a burst from a guard that has restarted and has no limit yet. */
     @Test
     void entryLimitAppliesUntilTheTargetAnswers() {
         mTracker.handleEntryLimit(new StartLimit(2), 0);
