--- a/src/main/java/org/apricotgauge/control/ConfigHistoryFold.java
+++ b/src/main/java/org/apricotgauge/control/ConfigHistoryFold.java
@@ -16,21 +16,21 @@
 public final class ConfigHistoryFold implements ConfigFold<ConfigHistory> {
     private final RefusalListener mListener;
 
-    /** Creates a fold that tells nobody of refused entries. */
+    /** Creates a fold without a refusal listener. */
     public ConfigHistoryFold() {
         this((entry, refused) -> {});
     }
 
-    /** Creates a fold; the listener is called on the thread that folds, and must not block. */
+    /** Creates a fold whose listener is called on the folding thread and must not block. */
     public ConfigHistoryFold(RefusalListener listener) {
         mListener = Checks.notNull("listener", listener);
     }
 
-    /** Is told of each entry that was refused as a whole. */
+    /** Receives each entry that was refused as a whole. */
     @FunctionalInterface
     public interface RefusalListener {
 
-        /** Takes in the entry and the result that holds the reasons. */
+        /** Called with the refused entry and the result that holds the reasons. */
         void onRefused(LogEntry entry, FoldResult.Refused refused);
     }
 
@@ -76,7 +76,7 @@
 
     @Override
     public ConfigHistory decode(List<byte[]> chunks) {
-        // One chunk at a time: the parsed form of a whole snapshot is several times its bytes.
+        // Parses one chunk at a time, since a parsed snapshot takes several times its encoded size.
         SnapshotAssembler assembler = new SnapshotAssembler();
         SnapshotAssembler.Result result = new SnapshotAssembler.Incomplete(0);
         for (byte[] bytes : chunks) {
@@ -85,6 +85,6 @@
         if (result instanceof SnapshotAssembler.Restored restored) {
             return restored.history();
         }
-        throw new IllegalArgumentException("no snapshot: " + result);
+        throw new IllegalArgumentException("snapshot is incomplete or invalid: " + result);
     }
 }
--- a/src/main/java/org/apricotgauge/control/ControlListener.java
+++ b/src/main/java/org/apricotgauge/control/ControlListener.java
@@ -8,7 +8,7 @@
 import org.apricotgauge.event.HlcTimestamp;
 
 /**
- * Is told by the control plane what changed; all calls come on its one thread and must not block.
+ * Receives state changes of the control plane.
  *
  * <pre>{@code
  * ControlListener<ConfigHistory> listener =
@@ -20,35 +20,40 @@
  *         };
  * }</pre>
  *
+ * <p>All calls are made on the control plane's single thread and must not block.
+ *
  * @param <H> a folded history
  */
 public interface ControlListener<H> {
 
-    /** A later history is in force. */
+    /** Called when a later history takes effect. */
     default void onHistory(H history) {}
 
-    /** What is known of the VMs changed. */
+    /** Called when the view of the VMs changes. */
     default void onView(VmView view) {}
 
-    /** A node told that it or a target is leaving. */
+    /** Called when a node announces that its VM or one of its targets is leaving. */
     default void onLeaving(LeavingNotice notice) {}
 
-    /** Evidence came from another node, or from this one. */
+    /** Called with evidence from another node or from this one. */
     default void onEvidence(GossipItem evidence) {}
 
-    /** Something happened that is counted; see {@link GossipEvent#logged()}. */
+    /** Called for each counted event; see {@link GossipEvent#logged()}. */
     default void onEvent(GossipEvent event) {}
 
-    /** An invariant broke and the control plane has ended; the process must end, too. */
+    /**
+     * Called when a violated invariant has stopped the control plane; the process must stop, too.
+     */
     default void onFatalError(RuntimeException failure) {}
 
     /**
-     * Returns a reading of the node's hybrid logical clock to send ahead of news, if it has one.
+     * Returns the reading of the node's hybrid logical clock to send ahead of a state update, or
+     * empty if the node has no clock.
      */
     default Optional<HlcTimestamp> clockReading() {
         return Optional.empty();
     }
 
-    /** Takes in the reading that came ahead of news. */
+    /** Called with the clock reading that precedes a state update. */
     default void onClockReading(HlcTimestamp reading) {}
 }
--- a/src/main/java/org/apricotgauge/control/ControlPlane.java
+++ b/src/main/java/org/apricotgauge/control/ControlPlane.java
@@ -31,17 +31,18 @@
 import org.jboss.logging.Logger;
 
 /**
- * The control plane of one node: the configuration in force, the VMs that live, and gossip.
+ * The control plane of one node: the configuration in force, the live VMs, and gossip.
  *
  * <pre>{@code
  * ControlPlane<ConfigHistory> control =
  *         ControlPlane.start(settings, new ConfigHistoryFold(), platform, listener, metrics);
- * control.opened().thenRun(callers::open);
+ * control.ready().thenRun(callers::open);
  * ConfigHistory history = control.currentHistory();
  * }</pre>
  *
- * <p>One thread does all its work. Readers on a request's path read atomic references: the history
- * and the view are immutable, and the version only rises. The platform client stays its owner's.
+ * <p>A single thread does all its work. Code on a request's path reads atomic references: the
+ * history and the view are immutable, and the version never decreases. The platform client is not
+ * closed here; its owner closes it.
  *
  * @param <H> a folded history
  */
@@ -115,7 +116,7 @@
         return start(settings, fold, platform, listener, metrics, FrameFilter.NONE);
     }
 
-    /** Starts a control plane that loses frames on purpose; see {@link FrameFilter}. */
+    /** Starts a control plane that drops frames on purpose; see {@link FrameFilter}. */
     public static <H> ControlPlane<H> start(
             ControlSettings settings,
             ConfigFold<H> fold,
@@ -147,40 +148,42 @@
         return plane;
     }
 
-    /** Returns the history in force; a request reads it once. */
+    /** Returns the history in force; a request should read it only once. */
     public H currentHistory() {
         return mHistory.get();
     }
 
-    /** Returns what is known of the VMs; a request reads it once. */
+    /** Returns the current view of the VMs; a request should read it only once. */
     public VmView vmView() {
         return mVmView.get();
     }
 
     /**
-     * Returns whether this process may act on what it knows; false after it was paused, until
-     * somebody confirmed its version. Cheap enough for each request.
+     * Returns whether this process may act on its cached state.
+     *
+     * <p>Returns false after the process was paused, until a peer or the platform confirms its
+     * version or the confirmation times out. Cheap enough to call for each request.
      */
     public boolean mayAct() {
         return mGossipNode.stalenessGate().mayAct(mTicker.millis());
     }
 
-    /** Returns a future that completes once the node may open to callers. */
+    /** Returns a future that completes when the node is ready to serve callers. */
     public CompletableFuture<Void> ready() {
         return mReady;
     }
 
-    /** Returns what a fresh node waits for, or {@code OPEN}. */
+    /** Returns what a new node waits for, or {@code READY}. */
     public ReadinessPolicy.Decision readinessDecision() {
         return mReadinessDecision;
     }
 
-    /** Returns whether this node watches the platform at present. */
+    /** Returns this node's current role in watching the platform. */
     public WatcherElection.Role watcherRole() {
         return mRole;
     }
 
-    /** Returns this node's VM with the port that it is reached at. */
+    /** Returns this node's VM with the peer port that it listens at. */
     public Vm vm() {
         return mSettings.vm();
     }
@@ -190,17 +193,17 @@
         return new Address(mSettings.vm().host(), mSettings.vm().peerPort());
     }
 
-    /** Returns the thread, so that its processor time can be measured. */
+    /** Returns the id of the control thread, for measuring its CPU time. */
     public long threadId() {
         return mLoop.threadId();
     }
 
-    /** Tells the fleet that the whole VM is leaving. */
+    /** Announces to the fleet that the whole VM is leaving. */
     public void announceLeaving() {
         announceLeaving(LeavingNotice.WHOLE_VM);
     }
 
-    /** Tells the fleet that one target on this VM is leaving. */
+    /** Announces to the fleet that one target on this VM is leaving. */
     public void announceLeaving(String target) {
         if (!target.equals(LeavingNotice.WHOLE_VM)) {
             Checks.id("target", target);
@@ -209,17 +212,17 @@
     }
 
     /**
-     * Tells the fleet a piece of evidence.
+     * Publishes a piece of evidence to the fleet.
      *
-     * <p>Each node takes part in carrying about 512 bytes a second for the whole fleet, each piece
-     * counted with 96 bytes more; beyond that, and a burst of 16 KB, pieces are not passed on but
-     * counted. It is for verdicts and digests, not for single observations.
+     * <p>Each node forwards about 512 bytes a second for the whole fleet, counting 96 bytes of
+     * overhead for each piece; beyond that rate and a burst of 16 KB, pieces are counted instead of
+     * forwarded. Intended for verdicts and digests, not for single observations.
      *
-     * @param key tells the facts of this node apart; at most 64 at a time
+     * @param key distinguishes the pieces of evidence of this node; at most 64 at a time
      * @param sequence a later one replaces an earlier one of the same key
-     * @param lifetimeMillis when it ceases to hold
+     * @param lifetimeMillis how long the evidence is valid, in milliseconds
      * @param payload at most {@link GossipItem#MAX_PAYLOAD_BYTES}
-     * @throws IllegalArgumentException if a part is out of its bounds
+     * @throws IllegalArgumentException if an argument is out of its bounds
      */
     public void publishEvidence(String key, long sequence, long lifetimeMillis, byte[] payload) {
         GossipItem evidence =
@@ -233,7 +236,10 @@
         mLoop.execute(() -> mGossipNode.publishEvidence(evidence, mTicker.millis()));
     }
 
-    /** Ends; what the sockets take at once is still sent, a leaving notice too. */
+    /**
+     * Stops the control plane; what the sockets accept at once, such as a leaving notice, is still
+     * sent.
+     */
     @Override
     public void close() {
         mLoop.close();
@@ -250,7 +256,7 @@
     }
 
     private void decideReadiness(long nowMillis) {
-        ReadinessPolicy.Observation seen =
+        ReadinessPolicy.Observation observation =
                 new ReadinessPolicy.Observation(
                         mGossipNode.position(),
                         Math.max(mGossipNode.highestKnownPosition(), mPlatformReader.head()),
@@ -260,9 +266,9 @@
                         mGossipNode.respondingDomains(),
                         mGossipNode.knownDomains(),
                         nowMillis - mStartedMillis);
-        mReadinessDecision = mReadinessPolicy.decide(seen);
+        mReadinessDecision = mReadinessPolicy.decide(observation);
         if (mReadinessDecision == ReadinessPolicy.Decision.READY) {
-            LOGGER.infof("%s opens at log position %d", vm().id(), mGossipNode.position());
+            LOGGER.infof("%s is ready at log position %d", vm().id(), mGossipNode.position());
             mReady.complete(null);
         }
     }
@@ -271,7 +277,7 @@
         return new PeerMessage.ClockReading(reading.millis(), reading.logical());
     }
 
-    /** The loop as the platform's reader sees it. */
+    /** Lets the platform reader run tasks on the loop's thread. */
     private final class PlatformLoopExecutor implements PlatformReader.LoopExecutor {
         @Override
         public void execute(Runnable task) {
@@ -284,7 +290,7 @@
         }
     }
 
-    /** The transport as the state machine sees it. */
+    /** Lets the state machine send messages through the loop. */
     private final class LoopTransport implements PeerTransport<H> {
         @Override
         public void dial(long link, Address address) {
@@ -333,13 +339,13 @@
             try {
                 return mFold.decode(chunks);
             } catch (RuntimeException e) {
-                LOGGER.warnf("a peer's snapshot is unreadable: %s", e.getMessage());
+                LOGGER.warnf("cannot decode a snapshot received from a peer: %s", e.getMessage());
                 return null;
             }
         }
     }
 
-    /** The state machine as the transport sees it. */
+    /** Forwards the loop's events to the state machine. */
     private final class PeerLoopHandler implements PeerLoop.Handler {
         private final Map<Long, String> mRemoteVmIds = new HashMap<>();
 
@@ -375,7 +381,7 @@
 
         @Override
         public void onFatalError(RuntimeException failure) {
-            LOGGER.error("the control plane ended", failure);
+            LOGGER.error("control plane stopped by an unexpected failure", failure);
             mReady.completeExceptionally(failure);
             mListener.onFatalError(failure);
         }
@@ -390,7 +396,7 @@
         }
     }
 
-    /** Publishes what the state machine tells. */
+    /** Stores the state machine's updates and forwards them to the listener. */
     private final class GossipNodeListener implements GossipListener<H> {
         @Override
         public void onHistory(H history) {
--- a/src/main/java/org/apricotgauge/control/ControlSettings.java
+++ b/src/main/java/org/apricotgauge/control/ControlSettings.java
@@ -14,15 +14,17 @@
  * ControlSettings settings = ControlSettings.of("kampsi", vm).withSeeds(List.of(address));
  * }</pre>
  *
- * @param site name of the site; nodes of different sites do not talk
- * @param vm the node's own VM; a {@code peerPort} of 0 takes any free port
- * @param incarnation this run of the node, higher than that of the run before
- * @param seeds peers to try while the platform names none; may be empty
- * @param gossip bounds and times of the gossip
- * @param watchTimeoutMillis how long a watch waits at the platform
- * @param readinessTimeoutMillis after this time a fresh node opens on the answers it has
- * @param startJitterMillis a fresh node's first calls are spread over this time; about 8,000 where
- *     a whole fleet can start at once, so that the platform is not called by all in one second
+ * @param site name of the site; nodes of different sites exchange no messages
+ * @param vm the node's own VM; a {@code peerPort} of 0 selects any free port
+ * @param incarnation number of this run of the node, higher than that of the previous run
+ * @param seeds peers to connect to while the platform lists none; may be empty
+ * @param gossip limits and intervals of the gossip protocol
+ * @param watchTimeoutMillis how long a watch waits at the platform, in milliseconds
+ * @param readinessTimeoutMillis time after which a new node becomes ready with the responses it
+ *     has, in milliseconds
+ * @param startJitterMillis period over which a new node's first calls are spread, in milliseconds;
+ *     about 8,000 where a whole fleet can start at once, so that not all nodes call the platform
+ *     within one second
  * @param seed seed of random choices
  */
 public record ControlSettings(
@@ -40,19 +42,19 @@
     private static final long START_JITTER_MILLIS = 2_000;
     private static final long MAX_MILLIS = 600_000;
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ControlSettings {
         Checks.id("site", site);
         Checks.notNull("vm", vm);
         Checks.inRange("incarnation", incarnation, 1, NodeIdentity.MAX_INCARNATION);
         seeds = List.copyOf(Checks.notNull("seeds", seeds));
         Checks.notNull("gossip", gossip);
-        Checks.inRange("watchMillis", watchTimeoutMillis, 1, MAX_MILLIS);
-        Checks.inRange("patienceMillis", readinessTimeoutMillis, 0, MAX_MILLIS);
+        Checks.inRange("watchTimeoutMillis", watchTimeoutMillis, 1, MAX_MILLIS);
+        Checks.inRange("readinessTimeoutMillis", readinessTimeoutMillis, 0, MAX_MILLIS);
         Checks.inRange("startJitterMillis", startJitterMillis, 0, MAX_MILLIS);
     }
 
-    /** Returns the usual settings, with the wall clock as incarnation. */
+    /** Returns the default settings, with the wall clock as incarnation. */
     public static ControlSettings of(String site, Vm vm) {
         long nowMillis = System.currentTimeMillis();
         return new ControlSettings(
@@ -67,7 +69,7 @@
                 nowMillis ^ vm.id().hashCode());
     }
 
-    /** Returns these settings with other seeds. */
+    /** Returns these settings with the given seeds. */
     public ControlSettings withSeeds(List<Address> newSeeds) {
         return new ControlSettings(
                 site,
@@ -81,7 +83,7 @@
                 seed);
     }
 
-    /** Returns these settings with another spread of the first calls. */
+    /** Returns these settings with the given jitter of the first calls. */
     public ControlSettings withStartJitterMillis(long millis) {
         return new ControlSettings(
                 site,
--- a/src/main/java/org/apricotgauge/control/FrameFilter.java
+++ b/src/main/java/org/apricotgauge/control/FrameFilter.java
@@ -1,13 +1,13 @@
 package org.apricotgauge.control;
 
 /**
- * Loses frames on purpose, for tests and measurements of one-way partitions.
+ * Drops frames on purpose, for tests and measurements of one-way partitions.
  *
- * <p>A frame that does not pass is swallowed on arrival, as if the path had eaten it.
+ * <p>A frame that does not pass is discarded on arrival, as if it had been lost on the network.
  */
 @FunctionalInterface
 public interface FrameFilter {
-    /** Loses nothing. */
+    /** Drops nothing. */
     FrameFilter NONE = (from, to) -> true;
 
     /** Returns whether a frame passes from one VM to another. */
--- a/src/main/java/org/apricotgauge/control/PlatformReader.java
+++ b/src/main/java/org/apricotgauge/control/PlatformReader.java
@@ -18,11 +18,12 @@
 import org.apricotgauge.platform.VmPage;
 
 /**
- * Reads the platform when this node is one of the few that should; runs on the loop's thread.
+ * Reads the platform if this node is one of the few that should; runs on the loop's thread.
  *
- * <p>A fresh node makes one call for the head of the log and one for a page of the list of VMs; the
- * rest it hears from peers. Watchers hold one waiting call for each. Failures are followed by a
- * back-off with jitter, and every stream leaves at least {@code MIN_GAP_MILLIS} between two calls.
+ * <p>A new node makes one call for the head of the log and one for a page of the list of VMs; it
+ * receives the rest from peers. Watchers hold one waiting call for each. Failed calls are retried
+ * with exponential back-off and jitter, and calls of one kind are at least {@code
+ * MIN_CALL_INTERVAL_MILLIS} apart.
  *
  * @param <H> a folded history
  */
@@ -38,7 +39,7 @@
     private static final long SNAPSHOT_LAG_THRESHOLD = 1_000;
     private static final long ELECTION_INTERVAL_MILLIS = 1_000;
 
-    /** A snapshot as the platform holds it; without chunks if it is of no use here. */
+    /** A snapshot read from the platform; without chunks if it is not ahead of this node. */
     private record SnapshotParts(SnapshotHeader header, List<byte[]> chunks) {}
 
     private final ControlSettings mSettings;
@@ -64,7 +65,7 @@
     private boolean mFailed;
     private boolean mSnapshotTried;
 
-    /** Runs tasks on the loop's thread, with the time of their run. */
+    /** Runs tasks on the loop's thread and supplies the current time. */
     interface LoopExecutor {
         void execute(Runnable task);
 
@@ -113,7 +114,10 @@
         return mRole;
     }
 
-    /** The process woke from a pause: one call tells whether the platform has gone on. */
+    /**
+     * Called after the process resumed from a pause; one call checks whether the platform's log has
+     * advanced.
+     */
     void onResumed() {
         mResumeCount++;
         mHeadNeeded = true;
@@ -151,11 +155,11 @@
     private void readHead(long nowMillis) {
         if (mHeadNeeded && mHeadCalls.tryStart(nowMillis)) {
             long from = mNode.position() + 1;
-            long wakes = mResumeCount;
+            long resumeCount = mResumeCount;
             startCall(
                     mHeadCalls,
                     () -> mClient.readLog(from, 0, 0),
-                    (page, now) -> onHead(page, wakes == mResumeCount));
+                    (page, now) -> onHead(page, resumeCount == mResumeCount));
         }
     }
 
@@ -189,11 +193,11 @@
     }
 
     /**
-     * Returns whether this node holds watches: it is elected, or no peer has been linked for a
-     * while, so that nobody else can tell it.
+     * Returns whether this node holds watches: it is elected, or no peer has been connected for a
+     * while, so that no other node can update it.
      *
-     * <p>A node that starts knows only itself and elects itself. Were that acted on at once, the
-     * start of a whole fleet would put two waiting calls for each node on the platform.
+     * <p>A node that starts knows only itself and elects itself. If it acted on that at once, the
+     * start of a whole fleet would place two waiting calls for each node on the platform.
      */
     private boolean isWatching(long nowMillis) {
         boolean elected =
@@ -203,11 +207,11 @@
         return !mHeadNeeded && (elected || peerless);
     }
 
-    private boolean onHead(LogPage page, boolean askedSinceWaking) {
+    private boolean onHead(LogPage page, boolean requestedSinceResume) {
         mPlatformHead = Math.max(mPlatformHead, page.head());
-        mHeadNeeded = !askedSinceWaking;
+        mHeadNeeded = !requestedSinceResume;
         boolean fresh = mNode.onPublished(page);
-        if (fresh && askedSinceWaking && page.head() <= mNode.position()) {
+        if (fresh && requestedSinceResume && page.head() <= mNode.position()) {
             mNode.onPlatformConfirmed();
         }
         return fresh;
@@ -269,42 +273,42 @@
         }
     }
 
-    /** What becomes of an answer: whether it was as new as what we have. */
+    /** Handles an answer; returns whether it was as new as this node's state. */
     private interface AnswerHandler<T> {
         boolean handle(T answer, long nowMillis);
     }
 
     private <T> void startCall(
-            CallThrottle stream, Supplier<CompletableFuture<T>> call, AnswerHandler<T> onAnswer) {
+            CallThrottle throttle, Supplier<CompletableFuture<T>> call, AnswerHandler<T> handler) {
         mCalls.inc();
-        stream.mInFlight = true;
-        BiConsumer<T, Throwable> settle =
+        throttle.mInFlight = true;
+        BiConsumer<T, Throwable> onCompletion =
                 (answer, failure) ->
-                        mLoop.execute(() -> onCallCompleted(stream, answer, failure, onAnswer));
+                        mLoop.execute(() -> onCallCompleted(throttle, answer, failure, handler));
         try {
-            call.get().whenComplete(settle);
+            call.get().whenComplete(onCompletion);
         } catch (RuntimeException e) {
-            settle.accept(null, e);
+            onCompletion.accept(null, e);
         }
     }
 
     private <T> void onCallCompleted(
-            CallThrottle stream, T answer, Throwable failure, AnswerHandler<T> onAnswer) {
+            CallThrottle throttle, T answer, Throwable failure, AnswerHandler<T> handler) {
         long nowMillis = mLoop.nowMillis();
-        stream.mInFlight = false;
+        throttle.mInFlight = false;
         if (failure != null) {
             mFailures.inc();
             mFailed = true;
-            stream.mNextCallMillis = nowMillis + stream.mBackoff.onFailure();
-            detectUnreachablePlatform(stream, nowMillis);
+            throttle.mNextCallMillis = nowMillis + throttle.mBackoff.onFailure();
+            detectUnreachablePlatform(throttle, nowMillis);
             return;
         }
-        boolean fresh = onAnswer.handle(answer, nowMillis);
+        boolean fresh = handler.handle(answer, nowMillis);
         if (fresh) {
-            stream.mBackoff.onSuccess();
-            stream.mNextCallMillis = Math.max(nowMillis, stream.mNextCallMillis);
+            throttle.mBackoff.onSuccess();
+            throttle.mNextCallMillis = Math.max(nowMillis, throttle.mNextCallMillis);
         } else {
-            stream.mNextCallMillis = nowMillis + stream.mBackoff.onFailure();
+            throttle.mNextCallMillis = nowMillis + throttle.mBackoff.onFailure();
         }
         if (mPlatformUnreachable) {
             mPlatformUnreachable = false;
@@ -312,11 +316,11 @@
         }
     }
 
-    private void detectUnreachablePlatform(CallThrottle stream, long nowMillis) {
+    private void detectUnreachablePlatform(CallThrottle throttle, long nowMillis) {
         boolean candidate = mRole != WatcherElection.Role.PASSIVE;
         if (candidate
                 && !mPlatformUnreachable
-                && stream.mBackoff.failures() >= UNREACHABLE_AFTER_FAILURES) {
+                && throttle.mBackoff.failures() >= UNREACHABLE_AFTER_FAILURES) {
             mPlatformUnreachable = true;
             mNextUnreachableNoticeMillis = nowMillis;
         }
@@ -326,7 +330,7 @@
         return Math.max(1, mSettings.startJitterMillis());
     }
 
-    /** Calls of one kind: one at a time, spaced, backing off. */
+    /** Throttles calls of one kind: one at a time, with a minimum interval and a back-off. */
     private static final class CallThrottle {
         private final Backoff mBackoff;
         private boolean mInFlight;
@@ -337,7 +341,7 @@
             mNextCallMillis = firstMillis;
         }
 
-        /** Returns whether a call may go out now, and if so counts the least gap from now. */
+        /** Returns whether a call may start now; if so, the minimum interval starts now. */
         boolean tryStart(long nowMillis) {
             if (mInFlight || nowMillis < mNextCallMillis) {
                 return false;
--- a/src/main/java/org/apricotgauge/http/BearerKey.java
+++ b/src/main/java/org/apricotgauge/http/BearerKey.java
@@ -12,7 +12,7 @@
 
     private BearerKey() {}
 
-    /** Returns what the headers bring; of a key its digest alone. */
+    /** Returns the credentials in the headers, which hold only the digest of a key. */
     public static Credentials read(HttpFields headers) {
         List<String> values = headers.getValuesList(HttpHeader.AUTHORIZATION);
         if (values.isEmpty()) {
--- a/src/main/java/org/apricotgauge/http/Bodies.java
+++ b/src/main/java/org/apricotgauge/http/Bodies.java
@@ -10,7 +10,8 @@
 import org.eclipse.jetty.util.Promise;
 
 /**
- * Reads and writes small bodies whole; never used for what callers and targets send each other.
+ * Reads and writes small bodies as a whole; not used for the bodies that callers and targets
+ * exchange.
  *
  * <pre>{@code
  * Bodies.readAll(request, 65_536).thenAccept(this::parse);
@@ -23,7 +24,7 @@
 
     private Bodies() {}
 
-    /** Reads a body; the future fails if it breaks off or exceeds {@code maxBytes}. */
+    /** Reads a body; the future fails if the body is truncated or exceeds {@code maxBytes}. */
     public static CompletableFuture<byte[]> readAll(Content.Source source, int maxBytes) {
         CompletableFuture<byte[]> future = new CompletableFuture<>();
         Content.Source.asByteArrayAsync(source, maxBytes, Promise.Invocable.toPromise(future));
@@ -31,10 +32,10 @@
     }
 
     /**
-     * Reads a short body that is of no interest, so that its connection can be used again.
+     * Reads and discards a short body, so that its connection can be reused.
      *
-     * <p>A body of over {@link #MAX_DISCARDED_BYTES} is broken off, which closes the connection: a
-     * new one costs less than reading on.
+     * <p>A body of more than {@link #MAX_DISCARDED_BYTES} bytes is aborted, which closes the
+     * connection: a new one costs less than reading on.
      */
     public static void discard(Content.Source source) {
         readAll(source, MAX_DISCARDED_BYTES)
@@ -46,7 +47,7 @@
                         });
     }
 
-    /** Answers with a short plain text. */
+    /** Writes a short plain-text response. */
     public static void writeText(Response response, Callback callback, int status, String text) {
         response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain;charset=utf-8");
--- a/src/main/java/org/apricotgauge/http/DisconnectDetectingEndPoint.java
+++ b/src/main/java/org/apricotgauge/http/DisconnectDetectingEndPoint.java
@@ -17,20 +17,21 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A caller's connection that notices a hang-up while its request is at work.
+ * A caller's connection that detects a disconnect while its request is being handled.
  *
  * <pre>{@code
- * HangUpEndPoint.watch(request, this::callerGone);
+ * DisconnectDetectingEndPoint.watch(request, this::onCallerDisconnected);
  * }</pre>
  *
- * <p>Jetty's HTTP/1.1 connection does not read while a request is handled, so that a caller who
- * hangs up keeps a slot of a target busy until the answer is written to nobody. This end point goes
- * on reading in its place, into a buffer of {@link #READ_AHEAD_BYTES}: what a caller pipelines is
- * kept for the connection, an end of the stream tells the watcher. With the buffer full it stops
- * reading, and a hang-up behind that much pipelined data is seen when the answer is written.
+ * <p>Jetty's HTTP/1.1 connection does not read while a request is handled, so that a caller that
+ * disconnects occupies a slot of a target until the response has been written in vain. This end
+ * point continues to read, into a buffer of {@link #READ_AHEAD_BYTES}: pipelined data is kept for
+ * the connection, and the end of the stream is reported to the watcher. When the buffer is full it
+ * stops reading; a disconnect behind that much pipelined data is detected when the response is
+ * written.
  */
 public final class DisconnectDetectingEndPoint extends SocketChannelEndPoint {
-    /** Room for the heads of a few pipelined requests; taken only by callers that pipeline. */
+    /** Room for the heads of a few pipelined requests; kept only for callers that pipeline. */
     static final int READ_AHEAD_BYTES = 16_384;
 
     private final Executor mExecutor;
@@ -52,7 +53,7 @@
     }
 
     /**
-     * Calls the watcher once should the caller of the request hang up; a request on another kind of
+     * Calls the watcher once if the caller of the request disconnects; a request on another kind of
      * connection is not watched. The watch ends with {@link #unwatch}.
      */
     public static void watch(Request request, Runnable watcher) {
@@ -63,7 +64,7 @@
         }
     }
 
-    /** Ends the watch of the request's connection, before its answer ends. */
+    /** Ends the watch of the request's connection; to be called before its response ends. */
     public static void unwatch(Request request) {
         if (request.getConnectionMetaData().getConnection().getEndPoint()
                 instanceof DisconnectDetectingEndPoint endPoint) {
@@ -108,7 +109,7 @@
             }
         }
         if (ready) {
-            // Not on this stack: the connection calls from within its own reading.
+            // Not called on this stack, because the connection calls this method while it reads.
             mExecutor.execute(callback::succeeded);
         } else {
             registerForRead();
@@ -166,7 +167,7 @@
 
     private void readAhead() {
         boolean ended;
-        boolean goOn;
+        boolean continueReading;
         synchronized (mLock) {
             if (mOnDisconnect == null) {
                 return;
@@ -177,14 +178,14 @@
             int count = fillReadAhead();
             ended = count < 0;
             mEndOfStream |= ended;
-            goOn = !ended && mReadAhead.limit() < mReadAhead.capacity();
+            continueReading = !ended && mReadAhead.limit() < mReadAhead.capacity();
             if (!mReadAhead.hasRemaining()) {
                 mReadAhead = null;
             }
         }
         if (ended) {
             notifyDisconnected();
-        } else if (goOn) {
+        } else if (continueReading) {
             registerForRead();
         }
     }
@@ -193,7 +194,7 @@
         try {
             return super.fill(mReadAhead);
         } catch (IOException e) {
-            // A reset is a hang-up, too; the connection meets it itself when it next reads.
+            // A reset is a disconnect, too; the connection itself detects it at its next read.
             return -1;
         }
     }
@@ -209,13 +210,13 @@
         }
     }
 
-    /** Hears from the selector, for the connection if it waits to read, else for the watcher. */
+    /** Handles readiness to read: for the connection if it waits to read, else for the watcher. */
     private final class ReadCallback implements Callback {
         @Override
         public void succeeded() {
-            Callback reader = takePendingRead();
-            if (reader != null) {
-                reader.succeeded();
+            Callback pendingRead = takePendingRead();
+            if (pendingRead != null) {
+                pendingRead.succeeded();
             } else {
                 readAhead();
             }
@@ -223,11 +224,11 @@
 
         @Override
         public void failed(Throwable failure) {
-            Callback reader = takePendingRead();
-            if (reader != null) {
-                reader.failed(failure);
+            Callback pendingRead = takePendingRead();
+            if (pendingRead != null) {
+                pendingRead.failed(failure);
             } else if (failure instanceof TimeoutException) {
-                // The idle timeout measures bytes; a caller that waits for its answer sends none.
+                // The idle timeout measures bytes; a caller that waits for its response sends none.
                 registerForRead();
             } else {
                 notifyDisconnected();
@@ -246,15 +247,15 @@
         private Callback takePendingRead() {
             synchronized (mLock) {
                 mRegistered = false;
-                Callback reader = mPendingRead;
+                Callback pendingRead = mPendingRead;
                 mPendingRead = null;
-                return reader;
+                return pendingRead;
             }
         }
     }
 
-    /** Returns what a watcher hands on as the cause of a cancelled request. */
+    /** Returns the exception that a watcher passes on as the cause of a cancelled request. */
     public static EofException newDisconnectException() {
-        return new EofException("the caller hung up");
+        return new EofException("caller disconnected");
     }
 }
--- a/src/main/java/org/apricotgauge/http/EvictableConnectionPool.java
+++ b/src/main/java/org/apricotgauge/http/EvictableConnectionPool.java
@@ -7,11 +7,11 @@
 import org.eclipse.jetty.client.DuplexConnectionPool;
 
 /**
- * A pool whose unused connections can be thrown away at once.
+ * A connection pool whose idle connections can all be closed at once.
  *
- * <p>When something between the two ends has lost track of one connection, it has usually lost
- * track of all that were open then. Trying one after the other would cost a request the silence
- * bound for each.
+ * <p>When something between the two ends has lost the state of one connection, it has usually lost
+ * that of all connections open at the time. Trying them one by one would cost a request the timeout
+ * of an unresponsive guard for each.
  */
 final class EvictableConnectionPool extends DuplexConnectionPool {
     private final Set<Connection> mConnections = ConcurrentHashMap.newKeySet();
@@ -29,17 +29,17 @@
     @Override
     protected void onRemoved(Connection connection) {
         if (connection != null) {
-            // A pool that is closed while a connection is being opened removes a place without one.
+            // A pool closed while a connection is being opened removes an entry without one.
             mConnections.remove(connection);
         }
         super.onRemoved(connection);
     }
 
     /**
-     * Closes the connections that carry no exchange now.
+     * Closes the connections that carry no exchange at present.
      *
-     * <p>A connection that is taken into use in this very moment breaks under its exchange, which
-     * then ends as any broken exchange does.
+     * <p>A connection that is taken into use at the same moment fails its exchange, which then ends
+     * like any failed exchange.
      */
     void evictIdle() {
         for (Connection connection : mConnections) {
--- a/src/main/java/org/apricotgauge/http/FailureTrackingSource.java
+++ b/src/main/java/org/apricotgauge/http/FailureTrackingSource.java
@@ -4,24 +4,24 @@
 import org.eclipse.jetty.io.Content;
 
 /**
- * A source that remembers whether it was the one that failed.
+ * A source that records whether it was the one that failed.
  *
  * <pre>{@code
- * WatchedSource body = new WatchedSource(source);
+ * FailureTrackingSource body = new FailureTrackingSource(source);
  * Content.copy(body, sink, callback);
- * // on failure: body.hasFailed() tells a broken upstream from a receiver that went away
+ * // on failure, body.hasFailed() distinguishes a failed upstream from a disconnected receiver
  * }</pre>
  */
 public final class FailureTrackingSource implements Content.Source {
     private final Content.Source mSource;
     private volatile boolean mFailed;
 
-    /** Watches the given source. */
+    /** Wraps the given source. */
     public FailureTrackingSource(Content.Source source) {
         mSource = Checks.notNull("source", source);
     }
 
-    /** Returns whether a read of the source ended in a failure of its own. */
+    /** Returns whether a read of the source itself failed. */
     public boolean hasFailed() {
         return mFailed;
     }
--- a/src/main/java/org/apricotgauge/http/Fingerprints.java
+++ b/src/main/java/org/apricotgauge/http/Fingerprints.java
@@ -5,16 +5,18 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.server.Request;
 
-/** Reads from a request what its fingerprint is made of; callers and hops give the same. */
+/**
+ * Computes the parts of a request's fingerprint; a caller's request and its hops yield the same.
+ */
 public final class Fingerprints {
     private static final int MAX_NAME_CHARS = 200;
 
     private Fingerprints() {}
 
     /**
-     * Hashes the head of a request.
+     * Returns the hash of a request's head.
      *
-     * @param member id of the member on whose behalf it comes
+     * @param member id of the member that the request belongs to
      */
     public static long headHash(Request request, String member) {
         return Fingerprint.hashHead(
@@ -30,7 +32,10 @@
                 || request.getHeaders().getLongField(HttpHeader.CONTENT_LENGTH) > 0;
     }
 
-    /** Names a request for operators: method, host and path, without the query, bounded. */
+    /**
+     * Returns a name of a request for operators: method, host and path without the query, of
+     * bounded length.
+     */
     public static String nameOf(Request request) {
         String name =
                 request.getMethod()
--- a/src/main/java/org/apricotgauge/http/FleetDialect.java
+++ b/src/main/java/org/apricotgauge/http/FleetDialect.java
@@ -8,14 +8,14 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * The fleet's own headers towards callers and targets, see {@link HeaderNames}.
+ * The fleet's own header convention for callers and targets; see {@link HeaderNames}.
  *
  * <pre>{@code
  * SiteDialect dialect = FleetDialect.INSTANCE;
  * }</pre>
  */
 public final class FleetDialect implements SiteDialect {
-    /** The one instance; it holds no state. */
+    /** The only instance; it has no state. */
     public static final FleetDialect INSTANCE = new FleetDialect();
 
     private static final long MILLIS_PER_SECOND = 1_000;
@@ -29,9 +29,9 @@
             return OptionalLong.empty();
         }
         try {
-            long asked = Long.parseLong(field.getValue().strip());
-            Checks.inRange(HeaderNames.TIMEOUT_MILLIS, asked, 1, Route.MAX_DEADLINE_MILLIS);
-            return OptionalLong.of(asked);
+            long millis = Long.parseLong(field.getValue().strip());
+            Checks.inRange(HeaderNames.TIMEOUT_MILLIS, millis, 1, Route.MAX_DEADLINE_MILLIS);
+            return OptionalLong.of(millis);
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(
                     HeaderNames.TIMEOUT_MILLIS + " must be whole milliseconds", e);
@@ -48,8 +48,11 @@
 
     @Override
     public void addTargetHeaders(
-            HttpFields.Mutable headers, String targetId, long leftMillis, Optional<String> member) {
-        headers.put(HeaderNames.TIMEOUT_MILLIS, leftMillis);
+            HttpFields.Mutable headers,
+            String targetId,
+            long remainingMillis,
+            Optional<String> member) {
+        headers.put(HeaderNames.TIMEOUT_MILLIS, remainingMillis);
         member.ifPresent(id -> headers.put(HeaderNames.MEMBER, id));
     }
 
@@ -73,7 +76,7 @@
                 answer.getValuesList(HeaderNames.TARGET_LIMIT));
     }
 
-    /** Returns whole seconds, as RFC 9110 section 10.2.3 asks, rounded up. */
+    /** Returns whole seconds, as RFC 9110 section 10.2.3 requires, rounded up. */
     @Override
     public String retryAfter(long millis) {
         return Long.toString((millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
--- a/src/main/java/org/apricotgauge/http/ForwardedHeaders.java
+++ b/src/main/java/org/apricotgauge/http/ForwardedHeaders.java
@@ -15,11 +15,11 @@
  * ForwardedHeaders.copyRequest(callerRequest.getHeaders(), upstreamHeaders);
  * }</pre>
  *
- * <p>Removes what belongs to one connection only (RFC 9110 section 7.6.1, and whatever {@code
- * Connection} names) and every header of the fleet's own, which each hop writes anew.
+ * <p>Removes the headers of a single connection (RFC 9110 section 7.6.1, and those that {@code
+ * Connection} lists) and all headers of the fleet, which each hop sets itself.
  */
 public final class ForwardedHeaders {
-    /** What the fleet writes into {@code Via}. */
+    /** Name of the fleet in {@code Via}. */
     public static final String VIA_PSEUDONYM = "apricotgauge";
 
     private static final String VIA = "1.1 " + VIA_PSEUDONYM;
@@ -41,27 +41,27 @@
     /**
      * Copies a request's headers, adding {@code Via} (RFC 9110 section 7.6.3).
      *
-     * <p>{@code Expect} ends here: this hop answers 100-continue itself once the next hop asks for
-     * the body. The length is taken from the body, not from the header.
+     * <p>{@code Expect} is not forwarded: this hop itself answers 100-continue once the next hop
+     * requests the body. The length is taken from the body, not from the header.
      */
     public static void copyRequest(HttpFields from, HttpFields.Mutable to) {
         copy(from, to, EnumSet.of(HttpHeader.EXPECT, HttpHeader.CONTENT_LENGTH));
         to.add(HttpHeader.VIA, VIA);
     }
 
-    /** Copies an answer's headers. */
+    /** Copies a response's headers. */
     public static void copyResponse(HttpFields from, HttpFields.Mutable to) {
         copy(from, to, EnumSet.noneOf(HttpHeader.class));
     }
 
-    private static void copy(HttpFields from, HttpFields.Mutable to, Set<HttpHeader> alsoDrop) {
-        Set<String> named = connectionOptions(from);
+    private static void copy(HttpFields from, HttpFields.Mutable to, Set<HttpHeader> excluded) {
+        Set<String> connectionOptions = connectionOptions(from);
         for (HttpField field : from) {
             HttpHeader header = field.getHeader();
-            if (header != null && (PER_CONNECTION.contains(header) || alsoDrop.contains(header))) {
+            if (header != null && (PER_CONNECTION.contains(header) || excluded.contains(header))) {
                 continue;
             }
-            if (isFleetHeader(field) || named.contains(field.getLowerCaseName())) {
+            if (isFleetHeader(field) || connectionOptions.contains(field.getLowerCaseName())) {
                 continue;
             }
             to.add(field);
--- a/src/main/java/org/apricotgauge/http/HashingBody.java
+++ b/src/main/java/org/apricotgauge/http/HashingBody.java
@@ -5,12 +5,12 @@
 import org.eclipse.jetty.client.Request;
 import org.eclipse.jetty.io.Content;
 
-/** A body that is hashed as it is read, and passed on as it is. */
+/** A body that is hashed while it is read, and passed on unchanged. */
 public final class HashingBody implements Request.Content {
     private final Request.Content mBody;
     private final BodyHash mHash;
 
-    /** Wraps a body whose bytes go into the hash. */
+    /** Wraps a body whose bytes are added to the hash. */
     public HashingBody(Request.Content body, BodyHash hash) {
         mBody = Checks.notNull("body", body);
         mHash = Checks.notNull("hash", hash);
--- a/src/main/java/org/apricotgauge/http/HttpClientFactory.java
+++ b/src/main/java/org/apricotgauge/http/HttpClientFactory.java
@@ -19,14 +19,15 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Makes HTTP clients that change nothing of what they carry.
+ * Creates HTTP clients that do not modify the messages that they transfer.
  *
  * <pre>{@code
  * HttpClient client = new HttpClientFactory(executor, scheduler).create("target", limits);
  * client.start();
  * }</pre>
  *
- * <p>No redirects, cookies, authentication, decoding or user agent of the client's own.
+ * <p>The clients follow no redirects and add no cookies, authentication, decoding or user agent of
+ * their own.
  */
 public final class HttpClientFactory {
     private static final int SELECTORS = 1;
@@ -41,12 +42,13 @@
     }
 
     /**
-     * Bounds of one client.
+     * Limits of one client.
      *
-     * @param connectTimeoutMillis longest wait for a connection, in milliseconds
+     * @param connectTimeoutMillis maximum wait for a connection, in milliseconds
      * @param idleTimeoutMillis how long an unused connection is kept, in milliseconds
-     * @param connectionsPerDestination most connections to one address
-     * @param queuedPerDestination most requests waiting for a connection to one address
+     * @param connectionsPerDestination maximum number of connections to one address
+     * @param queuedPerDestination maximum number of requests waiting for a connection to one
+     *     address
      */
     public record Limits(
             long connectTimeoutMillis,
@@ -54,7 +56,7 @@
             int connectionsPerDestination,
             int queuedPerDestination) {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Limits {
             Checks.inRange("connectTimeoutMillis", connectTimeoutMillis, 1, Integer.MAX_VALUE);
             Checks.inRange("idleTimeoutMillis", idleTimeoutMillis, 1, Integer.MAX_VALUE);
@@ -71,9 +73,9 @@
         connector.setExecutor(mExecutor);
         connector.setScheduler(mScheduler);
         HttpClientTransportOverHTTP transport = new HttpClientTransportOverHTTP(connector);
-        // Answers are handled where they are read: listeners never block (see UpstreamExchange),
-        // and
-        // on one slow core each hand-over to another thread costs more than what it hands over.
+        // Responses are handled on the thread that reads them: listeners never block (see
+        // UpstreamExchange), and on one slow core each hand-over to another thread costs more than
+        // the work that it hands over.
         transport.setInvocationType(InvocationType.NON_BLOCKING);
         transport.setConnectionPoolFactory(
                 destination ->
@@ -81,7 +83,7 @@
                                 destination, limits.connectionsPerDestination()));
         HttpClient client = new HttpClient(transport);
         client.setName(name);
-        // Hosts are IP numbers: there is nothing to look up on a thread of its own.
+        // Hosts are IP addresses, so that no thread is needed to resolve them.
         client.setSocketAddressResolver(new SocketAddressResolver.Sync());
         client.setExecutor(mExecutor);
         client.setScheduler(mScheduler);
@@ -96,7 +98,7 @@
         return client;
     }
 
-    /** A connector whose connections tell a reset from an end. */
+    /** A connector whose connections distinguish a reset from the end of the stream. */
     private static final class ResetDetectingConnector extends ClientConnector {
         @Override
         protected EndPoint newEndPoint(
@@ -106,7 +108,7 @@
         }
     }
 
-    /** Closes the unused connections of a client to one address. */
+    /** Closes the idle connections of a client to one address. */
     public static void evictIdleConnections(HttpClient client, Address address) {
         for (Destination destination : client.getDestinations()) {
             Origin.Address at = destination.getOrigin().getAddress();
@@ -118,7 +120,9 @@
         }
     }
 
-    /** Starts a client and removes the handlers that would change what it carries. */
+    /**
+     * Starts a client and removes the handlers that would modify the messages that it transfers.
+     */
     public static void start(HttpClient client) throws Exception {
         client.start();
         client.getContentDecoderFactories().clear();
--- a/src/main/java/org/apricotgauge/http/HttpServerFactory.java
+++ b/src/main/java/org/apricotgauge/http/HttpServerFactory.java
@@ -14,18 +14,18 @@
 import org.eclipse.jetty.util.thread.ThreadPool;
 
 /**
- * Makes HTTP servers that add nothing of their own to an answer.
+ * Creates HTTP servers that add nothing of their own to a response.
  *
  * <pre>{@code
  * Server server = new HttpServerFactory(threads, scheduler).create("127.0.0.1", 8080, handler);
  * server.start();
  * }</pre>
  *
- * <p>Jetty's parser refuses what RFC 9112 forbids (two lengths, a length beside a transfer coding,
- * folded headers), which is what request smuggling lives on.
+ * <p>Jetty's parser rejects what RFC 9112 forbids and request smuggling relies on: two lengths, a
+ * length beside a transfer coding, folded headers.
  */
 public final class HttpServerFactory {
-    /** Most bytes of the head of a request; a larger one is answered with 431. */
+    /** Maximum size of a request's head, in bytes; a larger one is answered with 431. */
     public static final int MAX_HEADER_BYTES = 16_384;
 
     private static final long IDLE_TIMEOUT_MILLIS = 60_000;
@@ -46,20 +46,19 @@
     /**
      * Returns a server, not yet started.
      *
-     * @param host IP number to listen at
+     * @param host IP address to listen at
      * @param port port to listen at, or 0 for any free one
-     * @param handler answers the requests
-     * @param onRefused called for each request that is refused as malformed
+     * @param handler handles the requests
+     * @param onBadRequest called for each request that is rejected as malformed
      */
-    public Server create(String host, int port, Handler handler, Runnable onRefused) {
+    public Server create(String host, int port, Handler handler, Runnable onBadRequest) {
         Server server = new Server(mThreads, mScheduler, null);
         HttpConfiguration configuration = new HttpConfiguration();
         configuration.setSendServerVersion(false);
         configuration.setSendXPoweredBy(false);
         configuration.setSendDateHeader(false);
-        // Jetty's cache of a connection's fields takes 95 KB each (measured), which at 4,000
-        // callers'
-        // connections is more than the whole slot.
+        // Jetty's header cache takes 95 KB per connection, which at 4,000 connections of callers is
+        // more than the whole slot.
         configuration.setHeaderCacheSize(HEADER_CACHE_BYTES);
         configuration.setRequestHeaderSize(MAX_HEADER_BYTES);
         configuration.setResponseHeaderSize(MAX_HEADER_BYTES);
@@ -70,12 +69,12 @@
         connector.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         connector.setAcceptQueueSize(ACCEPT_QUEUE);
         server.addConnector(connector);
-        server.setErrorHandler(new PlainTextErrorHandler(onRefused));
+        server.setErrorHandler(new PlainTextErrorHandler(onBadRequest));
         server.setHandler(handler);
         return server;
     }
 
-    /** A connector whose connections notice that their caller hangs up. */
+    /** A connector whose connections detect that their caller disconnects. */
     private static final class DisconnectDetectingConnector extends ServerConnector {
         private DisconnectDetectingConnector(Server server, HttpConnectionFactory http) {
             super(server, ACCEPTORS, SELECTORS, http);
--- a/src/main/java/org/apricotgauge/http/InterimResponseHandler.java
+++ b/src/main/java/org/apricotgauge/http/InterimResponseHandler.java
@@ -7,11 +7,12 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * Takes 1xx answers off an exchange and tells the sender of the request of a 102.
+ * Removes 1xx responses from an exchange and notifies the exchange of a 102.
  *
- * <p>A guard answers 102 (RFC 2518 section 10.1) as soon as it has the request, so that the entry
- * can tell a dead path (no 102) from a slow target (102, then nothing yet). Other interim answers
- * are dropped, which RFC 9110 section 15.2 allows a proxy that asked for none.
+ * <p>A guard answers 102 (RFC 2518 section 10.1) as soon as it has received the request, so that
+ * the entry can distinguish a broken path (no 102) from a slow target (102, then nothing yet).
+ * Other interim responses are dropped, which RFC 9110 section 15.2 allows a proxy that requested
+ * none.
  */
 final class InterimResponseHandler extends ProcessingProtocolHandler {
 
--- a/src/main/java/org/apricotgauge/http/NoOpSslContextFactory.java
+++ b/src/main/java/org/apricotgauge/http/NoOpSslContextFactory.java
@@ -3,15 +3,15 @@
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 
 /**
- * A TLS factory that is never asked for a connection, and loads nothing.
+ * A TLS context factory that loads nothing, since no connection uses TLS.
  *
  * <p>Each of Jetty's clients builds a TLS context when it starts, with the trust store and all
- * ciphers: a quarter of a node's start by the times at which classes are loaded. The fleet's hops,
- * targets and platform speak plain HTTP.
+ * ciphers. By the times at which classes are loaded, this is a quarter of a node's start. The
+ * fleet's hops, targets and platform use plain HTTP.
  */
 final class NoOpSslContextFactory extends SslContextFactory.Client {
     @Override
     protected void doStart() {
-        // Nothing to load, see above.
+        // Nothing to load; see above.
     }
 }
--- a/src/main/java/org/apricotgauge/http/OutcomeCodec.java
+++ b/src/main/java/org/apricotgauge/http/OutcomeCodec.java
@@ -12,31 +12,31 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes an outcome that is no answer of a target as an HTTP answer, and reads it back.
+ * Writes an outcome without a target's response as an HTTP response, and reads it back.
  *
  * <pre>{@code
- * Outcomes.write(response, callback, new Outcome.NotRun(NotRunReason.QUEUE_FULL, 250));
- * Optional<Outcome> outcome = Outcomes.read(guardAnswer.getHeaders());
+ * OutcomeCodec.write(response, callback, new Outcome.NotRun(NotRunReason.QUEUE_FULL, 250));
+ * Optional<Outcome> outcome = OutcomeCodec.read(guardResponse.getHeaders());
  * }</pre>
  *
  * <p>Not run is 503, or 429 where the member is over its limit, with {@code Retry-After} (RFC 9110
- * section 10.2.3); unknown is 504. The header {@link HeaderNames#OUTCOME} tells the two from a
- * target's own 503 or 504, since it is removed from every answer of a target.
+ * section 10.2.3); unknown is 504. The header {@link HeaderNames#OUTCOME} distinguishes the two
+ * from a target's own 503 or 504, since it is removed from every response of a target.
  */
 public final class OutcomeCodec {
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
     private OutcomeCodec() {}
 
-    /** Writes the outcome as the final answer, in the fleet's own dialect. */
+    /** Writes the outcome as the final response, in the fleet's own header convention. */
     public static void write(Response response, Callback callback, Outcome.NotRun outcome) {
         write(response, callback, outcome, FleetDialect.INSTANCE);
     }
 
-    /** Writes the outcome as the final answer. */
+    /** Writes the outcome as the final response. */
     public static void write(
             Response response, Callback callback, Outcome.NotRun outcome, SiteDialect dialect) {
-        // Without a hint the caller would ask again at once, into the same overload.
+        // Without a delay the caller would retry at once, into the same overload.
         long retryAfterMillis =
                 outcome.retryAfterMillis() > 0
                         ? outcome.retryAfterMillis()
@@ -55,7 +55,7 @@
                 wireName(outcome.reason()));
     }
 
-    /** Writes the outcome as the final answer. */
+    /** Writes the outcome as the final response. */
     public static void write(Response response, Callback callback, Outcome.Unknown outcome) {
         write(
                 response,
@@ -72,7 +72,7 @@
         Bodies.writeText(response, callback, status, outcome + ": " + reason + '\n');
     }
 
-    /** Reads the outcome that a guard wrote; nothing if the answer is the target's. */
+    /** Reads the outcome that a guard wrote; empty if the response is the target's. */
     public static Optional<Outcome> read(HttpFields headers) {
         String outcome = headers.get(HeaderNames.OUTCOME);
         if (outcome == null) {
@@ -85,7 +85,7 @@
                             parseReason(UnknownReason.class, reason, UnknownReason.FORGOTTEN)));
         }
         long retryAfterMillis = Math.max(0, headers.getLongField(HeaderNames.RETRY_AFTER_MILLIS));
-        // A newer guard may give a reason that this release does not know; "not run" still holds.
+        // A newer guard may send a reason that this release does not know; "not run" still holds.
         return Optional.of(
                 new Outcome.NotRun(
                         parseReason(NotRunReason.class, reason, NotRunReason.FENCED),
@@ -96,15 +96,15 @@
         return reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static <E extends Enum<E>> E parseReason(Class<E> type, String word, E otherwise) {
-        if (word == null) {
-            return otherwise;
+    private static <E extends Enum<E>> E parseReason(Class<E> type, String name, E defaultReason) {
+        if (name == null) {
+            return defaultReason;
         }
         for (E constant : type.getEnumConstants()) {
-            if (wireName(constant).equals(word)) {
+            if (wireName(constant).equals(name)) {
                 return constant;
             }
         }
-        return otherwise;
+        return defaultReason;
     }
 }
--- a/src/main/java/org/apricotgauge/http/PlainTextErrorHandler.java
+++ b/src/main/java/org/apricotgauge/http/PlainTextErrorHandler.java
@@ -8,21 +8,22 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Answers what Jetty itself refuses (malformed, smuggled or oversized requests) by one line.
+ * Writes a one-line response to requests that Jetty itself rejects (malformed, smuggled or
+ * oversized).
  *
  * <pre>{@code
- * server.setErrorHandler(new RefusalHandler(badRequests::inc));
+ * server.setErrorHandler(new PlainTextErrorHandler(badRequests::inc));
  * }</pre>
  *
- * <p>The connection is closed: after a request that could not be read, nobody knows where the next
- * one begins, and guessing is what request smuggling lives on.
+ * <p>The connection is closed: after a request that could not be read, the start of the next one is
+ * unknown, and request smuggling relies on servers that guess it.
  */
 public final class PlainTextErrorHandler implements Request.Handler {
     private final Runnable mOnBadRequest;
 
-    /** Creates a handler that calls {@code onRefused} for each request refused with 4xx. */
-    public PlainTextErrorHandler(Runnable onRefused) {
-        mOnBadRequest = Checks.notNull("onRefused", onRefused);
+    /** Creates a handler that calls {@code onBadRequest} for each request rejected with 4xx. */
+    public PlainTextErrorHandler(Runnable onBadRequest) {
+        mOnBadRequest = Checks.notNull("onBadRequest", onBadRequest);
     }
 
     @Override
--- a/src/main/java/org/apricotgauge/http/ReplayableBody.java
+++ b/src/main/java/org/apricotgauge/http/ReplayableBody.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.io.Content;
 
 /**
- * A request body that can be sent more than once while it is small, and streams when it is not.
+ * A request body that can be sent more than once while it is small, and is streamed otherwise.
  *
  * <pre>{@code
  * ReplayableBody body = new ReplayableBody(callerRequest, 65_536);
@@ -22,9 +22,10 @@
  * }
  * }</pre>
  *
- * <p>At most {@code limitBytes} are kept; past that the kept part is dropped and the body cannot be
- * sent again, so no body is held whole unless it is small. Opening it anew cuts off the view given
- * out before: a late reader of an abandoned attempt gets an error, never bytes meant for the next.
+ * <p>At most {@code maxBufferedBytes} are buffered; beyond that the buffer is dropped and the body
+ * cannot be sent again, so that only small bodies are held whole. Opening the body again
+ * invalidates the content returned before: a late reader of an abandoned attempt gets an error,
+ * never bytes meant for the next one.
  */
 public final class ReplayableBody {
     private final Content.Source mSource;
@@ -40,12 +41,13 @@
     /**
      * Creates a body.
      *
-     * @param source where the bytes come from
-     * @param limitBytes how many bytes are kept at most, not negative
+     * @param source source of the bytes
+     * @param maxBufferedBytes maximum number of bytes to buffer, not negative
      */
-    public ReplayableBody(Content.Source source, int limitBytes) {
+    public ReplayableBody(Content.Source source, int maxBufferedBytes) {
         mSource = Checks.notNull("source", source);
-        mMaxBufferedBytes = (int) Checks.inRange("limitBytes", limitBytes, 0, Integer.MAX_VALUE);
+        mMaxBufferedBytes =
+                (int) Checks.inRange("maxBufferedBytes", maxBufferedBytes, 0, Integer.MAX_VALUE);
     }
 
     /** Returns whether the body can still be sent from its start. */
@@ -56,7 +58,7 @@
     }
 
     /**
-     * Returns the body from its start, for one attempt; the view opened before is cut off.
+     * Returns the body from its start, for one attempt; invalidates the content opened before.
      *
      * @throws IllegalStateException if the body cannot be sent again
      */
@@ -64,7 +66,7 @@
         synchronized (mLock) {
             if (mOverflowed) {
                 throw new IllegalStateException(
-                        "body of over " + mMaxBufferedBytes + " bytes reopened");
+                        "cannot reopen a body of over " + mMaxBufferedBytes + " bytes");
             }
             mCurrentAttempt = new AttemptContent();
             return mCurrentAttempt;
@@ -72,9 +74,9 @@
     }
 
     /**
-     * Reads the first bytes before the body is opened, as many as the hash needs, and keeps them.
+     * Reads and buffers the first bytes before the body is opened, as many as the hash needs.
      *
-     * @return completes once the hash is complete; fails if the body breaks off before
+     * @return completes once the hash is complete; fails if the body is truncated before
      */
     public CompletableFuture<Void> readAhead(BodyHash hash) {
         CompletableFuture<Void> done = new CompletableFuture<>();
@@ -115,68 +117,68 @@
         chunk.release();
     }
 
-    private Content.Chunk readFor(AttemptContent view) {
+    private Content.Chunk readFor(AttemptContent content) {
         synchronized (mLock) {
-            if (view != mCurrentAttempt) {
+            if (content != mCurrentAttempt) {
                 return Content.Chunk.from(new IOException("attempt was abandoned"), true);
             }
-            if (view.mNextBuffered < mBuffered.size()) {
-                byte[] kept = mBuffered.get(view.mNextBuffered++);
-                boolean last = mSourceEnded && view.mNextBuffered == mBuffered.size();
-                view.mEnded = last;
-                return Content.Chunk.from(ByteBuffer.wrap(kept), last);
+            if (content.mNextBuffered < mBuffered.size()) {
+                byte[] bytes = mBuffered.get(content.mNextBuffered++);
+                boolean last = mSourceEnded && content.mNextBuffered == mBuffered.size();
+                content.mEnded = last;
+                return Content.Chunk.from(ByteBuffer.wrap(bytes), last);
             }
             if (mSourceEnded) {
-                view.mEnded = true;
+                content.mEnded = true;
                 return Content.Chunk.EOF;
             }
             if (mDemandPending) {
                 return null;
             }
-            return readSource(view);
+            return readSource(content);
         }
     }
 
-    private Content.Chunk readSource(AttemptContent view) {
+    private Content.Chunk readSource(AttemptContent content) {
         Content.Chunk chunk = mSource.read();
         if (chunk == null || Content.Chunk.isFailure(chunk)) {
             return chunk;
         }
         if (chunk.isLast()) {
             mSourceEnded = true;
-            view.mEnded = true;
+            content.mEnded = true;
         }
-        buffer(view, chunk);
+        buffer(content, chunk);
         return chunk;
     }
 
-    private void buffer(AttemptContent view, Content.Chunk chunk) {
+    private void buffer(AttemptContent content, Content.Chunk chunk) {
         if (mOverflowed || !chunk.hasRemaining()) {
             return;
         }
         if (mBufferedBytes + chunk.remaining() > mMaxBufferedBytes) {
             mOverflowed = true;
             mBuffered.clear();
-            view.mNextBuffered = 0;
+            content.mNextBuffered = 0;
             return;
         }
         byte[] copy = new byte[chunk.remaining()];
         chunk.getByteBuffer().slice().get(copy);
         mBuffered.add(copy);
         mBufferedBytes += copy.length;
-        view.mNextBuffered = mBuffered.size();
+        content.mNextBuffered = mBuffered.size();
     }
 
-    private void demandFor(AttemptContent view, Runnable onAvailable) {
+    private void demandFor(AttemptContent content, Runnable onAvailable) {
         boolean runNow;
         synchronized (mLock) {
-            view.mOnAvailable = onAvailable;
+            content.mOnAvailable = onAvailable;
             runNow =
-                    view != mCurrentAttempt
-                            || view.mNextBuffered < mBuffered.size()
+                    content != mCurrentAttempt
+                            || content.mNextBuffered < mBuffered.size()
                             || mSourceEnded;
             if (runNow) {
-                view.mOnAvailable = null;
+                content.mOnAvailable = null;
             } else if (mDemandPending) {
                 return;
             } else {
@@ -204,7 +206,7 @@
         }
     }
 
-    /** The body as one attempt sees it. */
+    /** The body as read by one attempt. */
     private final class AttemptContent implements Request.Content {
         private int mNextBuffered;
         private boolean mEnded;
--- a/src/main/java/org/apricotgauge/http/ResetDetectingEndPoint.java
+++ b/src/main/java/org/apricotgauge/http/ResetDetectingEndPoint.java
@@ -10,11 +10,11 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A connection to an upstream on which a reset is a failure and not an end.
+ * A connection to an upstream that reports a reset as a failure, not as the end of the stream.
  *
- * <p>Jetty reads a reset as the end of the stream. An answer without a length ends with its
- * connection, so that half an answer of a target that crashed would be passed on as a whole one.
- * RFC 9112 section 8 calls an answer incomplete if its connection closes in error; here the error
+ * <p>Jetty treats a reset as the end of the stream. A response without a length ends with its
+ * connection, so that a truncated response of a target that crashed would be forwarded as complete.
+ * RFC 9112 section 8 calls a response incomplete if its connection closes in error; here the error
  * reaches the HTTP client, which fails the exchange.
  */
 final class ResetDetectingEndPoint extends SocketChannelEndPoint {
--- a/src/main/java/org/apricotgauge/http/ResponseForwarder.java
+++ b/src/main/java/org/apricotgauge/http/ResponseForwarder.java
@@ -16,18 +16,18 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Passes an upstream's answer on to whoever asked, with back pressure and never held whole.
+ * Forwards an upstream's response to the requester with back pressure, never buffering it whole.
  *
  * <pre>{@code
- * AnswerStream.copyHead(upstreamResponse, response);
- * AnswerStream.copyBody(upstreamResponse, body, response, callback);
+ * ResponseForwarder.copyHead(upstreamResponse, response);
+ * ResponseForwarder.copyBody(upstreamResponse, body, response, callback);
  * }</pre>
  */
 public final class ResponseForwarder {
 
     private ResponseForwarder() {}
 
-    /** Copies status and end-to-end headers. */
+    /** Copies the status and the end-to-end headers. */
     public static void copyHead(org.eclipse.jetty.client.Response from, Response to) {
         to.setStatus(from.getStatus());
         ForwardedHeaders.copyResponse(from.getHeaders(), to.getHeaders());
@@ -36,8 +36,8 @@
     /**
      * Copies the body and, where the upstream announced them, the trailers.
      *
-     * <p>A body that breaks off fails the callback. Once the head is out, the server then closes
-     * the connection without ending the message, so that a truncated answer never looks whole.
+     * <p>A truncated body fails the callback. If the head has been sent, the server then closes the
+     * connection without ending the message, so that a truncated response never looks complete.
      */
     public static void copyBody(
             org.eclipse.jetty.client.Response from,
@@ -51,26 +51,26 @@
         Content.copy(body, to, callback);
     }
 
-    // To a caller that asks for its connection to be closed, a server may end a body of unknown
-    // length by closing. Half an answer would then look like a whole one, so such a body always
-    // gets chunks, whose last one only a whole answer has.
+    // If the caller requests that its connection be closed, a server may end a body of unknown
+    // length by closing it. A truncated response would then look complete, so such a body is always
+    // chunked: only a complete response has the last chunk.
     private static void chunkIfLengthUnknown(org.eclipse.jetty.client.Response from, Response to) {
         Request request = to.getRequest();
-        boolean knowsChunks =
+        boolean supportsChunks =
                 request.getConnectionMetaData().getHttpVersion() == HttpVersion.HTTP_1_1;
         boolean hasBody =
                 !HttpMethod.HEAD.is(request.getMethod()) && !HttpStatus.hasNoBody(from.getStatus());
         boolean lengthKnown = from.getHeaders().contains(HttpHeader.CONTENT_LENGTH);
-        if (knowsChunks && hasBody && !lengthKnown) {
+        if (supportsChunks && hasBody && !lengthKnown) {
             to.getHeaders().put(HttpHeader.TRANSFER_ENCODING, HttpHeaderValue.CHUNKED);
         }
     }
 
     /**
-     * Ends a caller's connection in a way that shows that its answer is not whole.
+     * Closes a caller's connection in a way that shows that its response is incomplete.
      *
-     * <p>A caller that speaks HTTP/1.0 knows no chunks; a plain close would look like the end of
-     * the body. A reset (RFC 9293 section 3.10.7) is the only sign that is left.
+     * <p>HTTP/1.0 has no chunked coding, so that a plain close would look like the end of the body.
+     * A reset (RFC 9293 section 3.10.7) is the only signal that remains.
      */
     public static void abort(Request request, Callback callback, Throwable cause) {
         boolean needsReset =
@@ -80,7 +80,7 @@
             try {
                 socket.getChannel().setOption(StandardSocketOptions.SO_LINGER, 0);
             } catch (IOException ignored) {
-                // The connection is gone already, which the caller sees as well.
+                // The connection is closed already, which the caller detects as well.
             }
         }
         callback.failed(cause);
--- a/src/main/java/org/apricotgauge/http/UpstreamExchange.java
+++ b/src/main/java/org/apricotgauge/http/UpstreamExchange.java
@@ -10,15 +10,15 @@
 import org.eclipse.jetty.io.Content;
 
 /**
- * One request to the next hop, with exactly one ending.
+ * One request to the next hop, which ends exactly once.
  *
  * <pre>{@code
  * UpstreamExchange exchange = UpstreamExchange.send(client.newRequest(host, port), listener);
  * exchange.abort(new TimeoutException("no acknowledgement"));
  * }</pre>
  *
- * <p>The listener hears either {@link Listener#onAnswer} or {@link Listener#onFailure}, once. What
- * breaks after the head of the answer came shows as a failure of the body's source.
+ * <p>Either {@link Listener#onAnswer} or {@link Listener#onFailure} is called, once. A failure
+ * after the head of the response has arrived is reported as a failure of the body's source.
  */
 public final class UpstreamExchange {
     static final String ATTRIBUTE = UpstreamExchange.class.getName();
@@ -34,23 +34,23 @@
         FAILED
     }
 
-    /** How far a failed request may have come. */
+    /** How far a failed request may have progressed. */
     public enum Progress {
         /** No byte was written: proof that the request was not run. */
         NOT_SENT,
-        /** Some bytes may have been written; nothing is known. */
+        /** Some bytes may have been written; it is unknown whether the request ran. */
         MAYBE_SENT
     }
 
     /**
-     * Why an exchange ended without the head of an answer.
+     * Why an exchange ended without the head of a response.
      *
-     * @param cause what the plumbing reported
-     * @param progress how far the request may have come
+     * @param cause failure reported by the HTTP client
+     * @param progress how far the request may have progressed
      */
     public record Failure(Throwable cause, Progress progress) {}
 
-    /** Hears how the exchange goes, on the client's threads; must not block. */
+    /** Receives the events of an exchange on the client's threads; must not block. */
     public interface Listener {
 
         /**
@@ -62,18 +62,18 @@
             return true;
         }
 
-        /** Called when the next hop says, by an interim answer, that it has the request. */
+        /** Called when an interim response shows that the next hop has received the request. */
         default void onAcknowledged(HttpFields fields) {}
 
         /**
-         * Called with the head of the answer; the body must be read to its end or failed.
+         * Called with the head of the response; the body must be read to its end or failed.
          *
          * @param response status and headers
-         * @param body what follows, read with back pressure
+         * @param body the body, read with back pressure
          */
         void onAnswer(Response response, Content.Source body);
 
-        /** Called when no head of an answer will come. */
+        /** Called when no head of a response will arrive. */
         void onFailure(Failure failure);
     }
 
@@ -82,7 +82,7 @@
         mListener = Checks.notNull("listener", listener);
     }
 
-    /** Sends the request and returns the handle that can abort it. */
+    /** Sends the request and returns the exchange, which can be aborted. */
     public static UpstreamExchange send(Request request, Listener listener) {
         UpstreamExchange exchange = new UpstreamExchange(request, listener);
         request.attribute(ATTRIBUTE, exchange);
@@ -92,7 +92,7 @@
         return exchange;
     }
 
-    /** Gives the exchange up; the listener hears of it unless the answer had begun. */
+    /** Aborts the exchange; the listener is notified unless the response has begun. */
     public void abort(Throwable cause) {
         mRequest.abort(cause);
     }
@@ -101,7 +101,8 @@
         if (mListener.onBegin()) {
             mRequestBegun = true;
         } else {
-            request.abort(new CancellationException("given up before the first byte"));
+            request.abort(
+                    new CancellationException("exchange cancelled before the first byte was sent"));
         }
     }
 
@@ -115,7 +116,7 @@
         if (mPhase.compareAndSet(Phase.WAITING, Phase.ANSWERED)) {
             mListener.onAnswer(response, body);
         } else {
-            body.fail(new IllegalStateException("answer after the exchange ended"));
+            body.fail(new IllegalStateException("response arrived after the exchange ended"));
         }
     }
 
--- a/src/main/java/org/apricotgauge/http/package-info.java
+++ b/src/main/java/org/apricotgauge/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What both HTTP hops share: header names, hop-by-hop headers, streamed exchanges and replay of
+ * Code shared by both HTTP hops: header names, hop-by-hop headers, streamed exchanges and replay of
  * small bodies.
  */
 package org.apricotgauge.http;
--- a/src/main/java/org/apricotgauge/peer/MessageCodec.java
+++ b/src/main/java/org/apricotgauge/peer/MessageCodec.java
@@ -13,16 +13,20 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Writes and reads frames: four bytes of length, one byte of type, a record as a MessagePack map.
+ * Encodes and decodes frames: four bytes of length, one byte of type, a record as a MessagePack
+ * map.
  *
  * <p>The length counts the type and the record. Unknown fields and unknown types are ignored, so
  * that releases can differ within a fleet. Safe to share between threads.
  */
 public final class MessageCodec {
-    /** Longest frame after its length, in bytes: a value of 1 MB and its envelope. */
+    /**
+     * Maximum length of a frame without its length prefix, in bytes: a value of 1 MB and its
+     * envelope.
+     */
     public static final int MAX_FRAME_BYTES = (1 << 20) + (64 << 10);
 
-    /** Bytes of the length in front of each frame. */
+    /** Size of the length prefix of each frame, in bytes. */
     public static final int LENGTH_BYTES = Integer.BYTES;
 
     private static final ObjectMapper MAPPER =
@@ -40,7 +44,7 @@
     private MessageCodec() {}
 
     /**
-     * Returns the whole frame.
+     * Returns the frame of a message, with its length prefix.
      *
      * @throws IllegalArgumentException if it would be longer than {@link #MAX_FRAME_BYTES}
      */
@@ -62,10 +66,10 @@
     }
 
     /**
-     * Reads one frame without its length.
+     * Decodes one frame without its length prefix.
      *
-     * @return the message, or null if its type is not known here
-     * @throws IOException if it is no message
+     * @return the message, or null if this release does not know its type
+     * @throws IOException if the frame is not a valid message
      */
     public static PeerMessage decode(byte[] frame, int offset, int length) throws IOException {
         MessageType type = MessageType.of(frame[offset]);
--- a/src/main/java/org/apricotgauge/peer/MessageType.java
+++ b/src/main/java/org/apricotgauge/peer/MessageType.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.apricotgauge.decision.gossip.PeerMessage;
 
-/** The number on the wire of each kind of message; numbers are never used anew. */
+/** The number of each kind of message on the wire; numbers are never reused. */
 enum MessageType {
     HELLO(1, PeerMessage.Hello.class),
     WELCOME(2, PeerMessage.Welcome.class),
@@ -50,7 +50,7 @@
         return BY_CLASS.get(message.getClass());
     }
 
-    /** Returns the type, or null if a later release sent one that this release does not know. */
+    /** Returns the type, or null if only a later release knows it. */
     static MessageType of(byte number) {
         return number >= 1 && number <= values().length ? values()[number - 1] : null;
     }
--- a/src/main/java/org/apricotgauge/peer/PeerConnection.java
+++ b/src/main/java/org/apricotgauge/peer/PeerConnection.java
@@ -8,17 +8,17 @@
 import java.util.Arrays;
 import org.apricotgauge.decision.gossip.PeerMessage;
 
-/** One TCP connection with its frames on the way in and out; used by the loop's thread alone. */
+/** One TCP connection with its incoming and outgoing frames; used only by the loop's thread. */
 final class PeerConnection {
     private static final int INITIAL_BUFFER_BYTES = 4 << 10;
     private static final int MAX_QUEUED_BYTES = 4 << 20;
     private static final int MAX_QUEUED_FRAMES = 1_024;
 
-    /** Takes whole frames. */
+    /** Handles complete frames. */
     interface FrameHandler {
         void onFrame(byte[] bytes, int offset, int length) throws IOException;
 
-        /** Returns whether frames are still wanted. */
+        /** Returns whether further frames are wanted. */
         boolean isOpen();
     }
 
@@ -52,8 +52,8 @@
 
     /** Queues a frame; returns false if the queue is full. */
     boolean enqueue(byte[] frame) {
-        // A peer that stops reading must cost a bounded amount of memory here; its link is closed
-        // and it catches up by anti-entropy.
+        // Bounds the memory for a peer that stops reading: its link is closed, and it catches up by
+        // anti-entropy.
         if (mOutputQueue.size() >= MAX_QUEUED_FRAMES
                 || mQueuedBytes + frame.length > MAX_QUEUED_BYTES) {
             return false;
@@ -64,7 +64,7 @@
         return true;
     }
 
-    /** Writes what the socket takes. */
+    /** Writes as much as the socket accepts. */
     void flush() throws IOException {
         if (!mChannel.isConnected()) {
             return;
@@ -84,7 +84,7 @@
         mKey.interestOps(SelectionKey.OP_READ | interest);
     }
 
-    /** Reads what is there; returns false at the end of the stream. */
+    /** Reads the available bytes; returns false at the end of the stream. */
     boolean read(ByteBuffer scratch, FrameHandler sink) throws IOException {
         scratch.clear();
         int count = mChannel.read(scratch);
@@ -105,7 +105,7 @@
         while (sink.isOpen() && mInputBytes - start >= MessageCodec.LENGTH_BYTES) {
             int length = ByteBuffer.wrap(mInputBuffer, start, MessageCodec.LENGTH_BYTES).getInt();
             if (length < 1 || length > MessageCodec.MAX_FRAME_BYTES) {
-                throw new IOException("frame length " + length);
+                throw new IOException("invalid frame length " + length);
             }
             int end = start + MessageCodec.LENGTH_BYTES + length;
             if (end > mInputBytes) {
@@ -129,7 +129,7 @@
         }
     }
 
-    /** Encodes a message once for all links that it goes to in a row. */
+    /** Caches the last frame, so that a message sent to several links in a row is encoded once. */
     static final class LastFrameCache {
         private PeerMessage mLastMessage;
         private byte[] mLastFrame;
--- a/src/main/java/org/apricotgauge/peer/PeerLoop.java
+++ b/src/main/java/org/apricotgauge/peer/PeerLoop.java
@@ -21,7 +21,7 @@
 import org.apricotgauge.time.Ticker;
 
 /**
- * Carries messages to and from other nodes: one thread, one selector, bounded queues.
+ * Exchanges messages with other nodes, using one thread, one selector and bounded queues.
  *
  * <pre>{@code
  * PeerLoop loop = PeerLoop.bind("control-vm1", "127.0.0.1", 0, ticker, metrics);
@@ -38,24 +38,24 @@
     private static final int MAX_CONNECTIONS = 128;
     private static final long JOIN_MILLIS = 5_000;
 
-    /** What the loop tells, on its thread. */
+    /** Receives the loop's events on its thread. */
     public interface Handler {
-        /** A peer connected to us. */
+        /** Called when a peer has connected to this node. */
         void onAccepted(long link);
 
-        /** A dial got through. */
+        /** Called when a dialled connection is established. */
         void onConnected(long link);
 
-        /** A message came in. */
+        /** Called when a message arrives. */
         void onMessage(long link, PeerMessage message);
 
-        /** A link ended, or a dial failed. */
+        /** Called when a link has closed or a dial has failed. */
         void onClosed(long link);
 
-        /** A tenth of a second went by. */
+        /** Called about every 100 milliseconds. */
         void onTick();
 
-        /** The handler threw; the loop has ended. */
+        /** Called when an exception of the handler or the selector has stopped the loop. */
         void onFatalError(RuntimeException failure);
     }
 
@@ -88,9 +88,9 @@
     }
 
     /**
-     * Listens, but does not serve before {@link #start}.
+     * Binds the listening port; nothing is served before {@link #start}.
      *
-     * @param port port to listen at; 0 for any free one
+     * @param port port to listen at, or 0 for any free one
      * @throws IOException if it cannot listen there
      */
     public static PeerLoop bind(
@@ -107,12 +107,12 @@
         }
     }
 
-    /** Returns the port it listens at. */
+    /** Returns the port that the loop listens at. */
     public int port() {
         return mServer.socket().getLocalPort();
     }
 
-    /** Returns the thread, so that its processor time can be measured. */
+    /** Returns the id of the loop's thread, for measuring its CPU time. */
     public long threadId() {
         return mThread.getId();
     }
@@ -129,7 +129,10 @@
         mSelector.wakeup();
     }
 
-    /** Dials; ends in {@code onConnected} or {@code onClosed}. */
+    /**
+     * Dials a peer; the handler's {@code onConnected} or {@code onClosed} is called with the
+     * result.
+     */
     public void dial(long link, Address address) {
         try {
             SocketChannel channel = SocketChannel.open();
@@ -142,7 +145,7 @@
         }
     }
 
-    /** Queues a message. */
+    /** Queues a message; does nothing if the link is closed. */
     public void send(long link, PeerMessage message) {
         PeerConnection connection = mConnections.get(link);
         if (connection == null) {
@@ -156,7 +159,9 @@
         }
     }
 
-    /** Closes a link after what the socket takes at once; no {@code onClosed} follows. */
+    /**
+     * Closes a link after writing what the socket accepts at once; {@code onClosed} is not called.
+     */
     public void close(long link) {
         PeerConnection connection = mConnections.remove(link);
         if (connection != null) {
@@ -166,7 +171,7 @@
         }
     }
 
-    /** Stops serving after what the sockets take at once, and closes all links. */
+    /** Stops the loop after writing what the sockets accept at once, and closes all links. */
     @Override
     public void close() {
         mClosing = true;
@@ -187,7 +192,7 @@
                 runOnce();
             }
         } catch (IOException e) {
-            mHandler.onFatalError(new IllegalStateException("the selector failed", e));
+            mHandler.onFatalError(new IllegalStateException("selector failed", e));
         } catch (RuntimeException e) {
             mHandler.onFatalError(e);
         } finally {
@@ -290,8 +295,8 @@
     }
 
     private void read(PeerConnection connection) throws IOException {
-        boolean more = connection.read(mReadBuffer, new MessageDispatcher(connection));
-        if (!more) {
+        boolean isOpen = connection.read(mReadBuffer, new MessageDispatcher(connection));
+        if (!isOpen) {
             closeAndNotify(connection.link());
         }
     }
@@ -321,7 +326,7 @@
         }
     }
 
-    /** Hands the frames of one connection to the handler. */
+    /** Decodes the frames of one connection and passes them to the handler. */
     private final class MessageDispatcher implements PeerConnection.FrameHandler {
         private final PeerConnection mConnection;
 
@@ -337,9 +342,9 @@
                     mHandler.onMessage(mConnection.link(), message);
                 }
             } catch (IOException | IllegalArgumentException e) {
-                // What a peer sends must not end this process, whatever it holds.
+                // No input of a peer may stop this process.
                 mCounters.badFrames().inc();
-                throw new IOException("unreadable frame", e);
+                throw new IOException("cannot decode a frame", e);
             }
         }
 
--- a/src/main/java/org/apricotgauge/peer/TransportCounters.java
+++ b/src/main/java/org/apricotgauge/peer/TransportCounters.java
@@ -3,7 +3,7 @@
 import com.codahale.metrics.Counter;
 import com.codahale.metrics.MetricRegistry;
 
-/** Counts what goes over the wire between nodes. */
+/** Counters of the traffic between nodes. */
 record TransportCounters(
         Counter framesIn,
         Counter framesOut,
--- a/src/main/java/org/apricotgauge/peer/hop/GuardClient.java
+++ b/src/main/java/org/apricotgauge/peer/hop/GuardClient.java
@@ -28,24 +28,27 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * Talks to the guards of other VMs on behalf of an entry.
+ * Sends requests to the guards of other VMs on behalf of an entry.
  *
  * <pre>{@code
- * guards.sighting(address, 500).thenAccept(sighting -> ...);
+ * guards.clockEstimate(address, 500).thenAccept(estimate -> ...);
  * guards.fence(address, attempt, 500).thenAccept(answer -> ...);
  * }</pre>
  *
- * <p>Remembers the last stamp of each guard. Fences go over connections of their own, each used
- * once: the connection that carried the attempt may be the very thing that is broken. Safe to share
- * between threads.
+ * <p>Stores the last stamp of each guard. Each fence is sent over a separate connection that is
+ * used once, because the connection that carried the attempt may be broken. Safe to share between
+ * threads.
  */
 public final class GuardClient {
     private static final int MAX_CONTROL_BYTES = 256;
 
-    /** How long a guard that refused a connection is left alone. */
+    /** How long a guard that refused a connection is avoided, in milliseconds. */
     private static final long CONNECT_FAILURE_HOLD_MILLIS = 500;
 
-    /** How long a guard that went silent is left alone; a cut seldom heals within a second. */
+    /**
+     * How long an unresponsive guard is avoided, in milliseconds; a partition seldom heals within a
+     * second.
+     */
     private static final long UNRESPONSIVE_HOLD_MILLIS = 1_500;
 
     private final HttpClient mForwardingClient;
@@ -59,8 +62,8 @@
     /**
      * Creates a client.
      *
-     * @param forwarding carries attempts; its connections are kept
-     * @param fencing carries control questions over fresh connections
+     * @param forwarding sends attempts over persistent connections
+     * @param fencing sends control requests over new connections
      * @param ticker the entry's clock
      */
     public GuardClient(HttpClient forwarding, HttpClient fencing, Ticker ticker) {
@@ -69,22 +72,22 @@
         mTicker = Checks.notNull("ticker", ticker);
     }
 
-    /** Returns a request for a guard, to be filled and sent as an exchange. */
+    /** Returns a new request to a guard, to be completed and sent as an exchange. */
     public Request newRequest(Address guard) {
         return mForwardingClient.newRequest(mUris.computeIfAbsent(guard, Hosts::uriOf));
     }
 
     /**
-     * Notes that no connection to the guard could be made.
+     * Records that no connection to the guard could be made.
      *
-     * <p>While its process restarts the targets beside it still serve; entries then go straight to
-     * them rather than lose the capacity.
+     * <p>While its process restarts, the targets beside it still serve; entries then send to them
+     * directly rather than lose the capacity.
      */
     public void onConnectFailed(Address guard) {
         mUnavailableUntilMillis.put(guard, mTicker.millis() + CONNECT_FAILURE_HOLD_MILLIS);
     }
 
-    /** Returns whether a connection to the guard failed just now. */
+    /** Returns whether the guard recently refused a connection or was unresponsive. */
     public boolean isUnavailable(Address guard) {
         Long untilMillis = mUnavailableUntilMillis.get(guard);
         if (untilMillis == null) {
@@ -97,35 +100,40 @@
         return false;
     }
 
-    /** Takes the stamp that came with an answer of a guard. */
+    /** Records the stamp in a response of a guard, if it has one. */
     public void recordStamp(Address guard, HttpFields headers) {
         stampOf(headers).ifPresent(stamp -> mergeStamp(guard, stamp));
     }
 
-    /** Returns the last sighting of a guard, asking it if there is none. */
+    /** Returns the last clock estimate of a guard, requesting its stamp if there is none. */
     public CompletableFuture<GuardClockEstimate> clockEstimate(Address guard, long timeoutMillis) {
-        GuardClockEstimate known = mClockEstimates.get(guard);
-        if (known != null) {
-            return CompletableFuture.completedFuture(known);
+        GuardClockEstimate estimate = mClockEstimates.get(guard);
+        if (estimate != null) {
+            return CompletableFuture.completedFuture(estimate);
         }
         return sendControlRequest(guard, GuardHandler.CONTROL_STAMP, null, timeoutMillis)
                 .thenApply(answer -> mClockEstimates.get(guard));
     }
 
-    /** Notes that a connection to the guard went silent; the unused ones are not trusted either. */
+    /**
+     * Records that a connection to the guard became unresponsive, and closes the idle ones, which
+     * may be broken as well.
+     */
     public void onUnresponsive(Address guard) {
         HttpClientFactory.evictIdleConnections(mForwardingClient, guard);
         mUnavailableUntilMillis.put(guard, mTicker.millis() + UNRESPONSIVE_HOLD_MILLIS);
     }
 
-    /** Asks the guard, over a new connection, to refuse the attempt should it arrive late. */
+    /** Requests, over a new connection, that the guard refuse the attempt if it arrives late. */
     public CompletableFuture<FenceAnswer> fence(
             Address guard, Attempt attempt, long timeoutMillis) {
         return sendControlRequest(guard, GuardHandler.CONTROL_FENCE, attempt, timeoutMillis)
                 .thenApply(GuardClient::parseFenceAnswer);
     }
 
-    /** As {@link #fence}, and cancels the attempt at its target if it has started. */
+    /**
+     * Fences the attempt as {@link #fence} does, and cancels it at its target if it has started.
+     */
     public CompletableFuture<FenceAnswer> abandon(
             Address guard, Attempt attempt, long timeoutMillis) {
         return sendControlRequest(guard, GuardHandler.CONTROL_ABANDON, attempt, timeoutMillis)
@@ -133,10 +141,10 @@
     }
 
     private CompletableFuture<String> sendControlRequest(
-            Address guard, String question, Attempt attempt, long timeoutMillis) {
+            Address guard, String command, Attempt attempt, long timeoutMillis) {
         CompletableFuture<String> future = new CompletableFuture<>();
-        // A spare connection from before may be as silent as the one that is asked about; a fence
-        // sent over it would go unanswered, and a booking that did not run be told "unknown".
+        // An idle connection may be as unresponsive as the one that carried the attempt. A fence
+        // sent over it would get no answer, and a request that did not run would end as "unknown".
         HttpClientFactory.evictIdleConnections(mFencingClient, guard);
         mFencingClient
                 .newRequest(guard.host(), guard.port())
@@ -145,7 +153,7 @@
                 .headers(
                         headers -> {
                             headers.put(HttpHeader.CONNECTION, "close");
-                            headers.put(HeaderNames.CONTROL, question);
+                            headers.put(HeaderNames.CONTROL, command);
                             if (attempt != null) {
                                 headers.put(Attempt.HEADER, attempt.toString());
                             }
@@ -155,9 +163,9 @@
     }
 
     private static FenceAnswer parseFenceAnswer(String text) {
-        String[] words = text.strip().split(" ", 2);
+        String[] fields = text.strip().split(" ", 2);
         return new FenceAnswer(
-                FenceAnswer.State.valueOf(words[0]), Integer.parseInt(words[1].strip()));
+                FenceAnswer.State.valueOf(fields[0]), Integer.parseInt(fields[1].strip()));
     }
 
     private static Optional<GuardStamp> stampOf(HttpFields headers) {
@@ -165,11 +173,11 @@
     }
 
     private void mergeStamp(Address guard, GuardStamp stamp) {
-        GuardClockEstimate seen = new GuardClockEstimate(stamp, mTicker.millis());
-        mClockEstimates.merge(guard, seen, GuardClockEstimate::merge);
+        GuardClockEstimate estimate = new GuardClockEstimate(stamp, mTicker.millis());
+        mClockEstimates.merge(guard, estimate, GuardClockEstimate::merge);
     }
 
-    /** Reads a short answer to a control question. */
+    /** Reads the short response to a control request. */
     private final class ControlResponseListener extends BufferingResponseListener {
         private final Address mGuard;
         private final CompletableFuture<String> mFuture;
--- a/src/main/java/org/apricotgauge/peer/hop/package-info.java
+++ b/src/main/java/org/apricotgauge/peer/hop/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP hop between two nodes, as the entry sees it: stamps, attempts and fences. */
+/** The HTTP hop between two nodes on the entry's side: stamps, attempts and fences. */
 package org.apricotgauge.peer.hop;
--- a/src/main/java/org/apricotgauge/peer/package-info.java
+++ b/src/main/java/org/apricotgauge/peer/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Other nodes: the transport of the control protocol, length-prefixed MessagePack over TCP.
+ * The transport of the control protocol between nodes: length-prefixed MessagePack over TCP.
  *
- * <p>What the messages mean is decided in {@link org.apricotgauge.decision.gossip}.
+ * <p>The messages are handled in {@link org.apricotgauge.decision.gossip}.
  */
 package org.apricotgauge.peer;
--- a/src/test/java/org/apricotgauge/control/ControlClockTest.java
+++ b/src/test/java/org/apricotgauge/control/ControlClockTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The order of events over nodes that only the control protocol connects.
+ * Tests the order of events across nodes that are connected only by the control protocol.
  *
- * <p>A node announces that it leaves; another, whose wall clock is a minute behind, hears of it and
- * records it. By their wall clocks the time line shows that the second knew a minute before the
- * first said so. The first's reading comes ahead of the news, so that the second's is greater.
+ * <p>A node announces that it is leaving, and another node, whose wall clock is a minute behind,
+ * records it. By wall clocks the timeline would show the receipt a minute before the announcement.
+ * The sender's clock reading precedes the update, so that the receiver's reading is greater.
  */
 class ControlClockTest {
     private static final long TIMEOUT_SECONDS = 30;
@@ -67,11 +67,11 @@
                     ControlSettings.of("site", vm(1)).withSeeds(List.of(ahead.mPlane.address())));
             behind.mPlane.ready().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 
-            HlcTimestamp toldAt = ahead.mClock.now();
+            HlcTimestamp announcedAt = ahead.mClock.now();
             ahead.mPlane.announceLeaving();
 
             assertThat(behind.mReceivedAt.get(TIMEOUT_SECONDS, TimeUnit.SECONDS))
-                    .isGreaterThan(toldAt);
+                    .isGreaterThan(announcedAt);
             behind.mPlane.close();
             ahead.mPlane.close();
         }
--- a/src/test/java/org/apricotgauge/control/ControlPlaneTest.java
+++ b/src/test/java/org/apricotgauge/control/ControlPlaneTest.java
@@ -20,7 +20,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The whole path over real sockets; each step waits for a condition, never for a time. */
+/**
+ * Tests control planes over real sockets; each step waits for a condition, never for a fixed time.
+ */
 class ControlPlaneTest {
     private static final long TIMEOUT_SECONDS = 30;
 
@@ -28,7 +30,7 @@
     private final PlatformClient mClient = HttpPlatformClient.open(mStandin.uri());
     private final List<Node> mFleet = new ArrayList<>();
 
-    /** One control plane and latches for what its test waits for. */
+    /** One control plane, with latches for the events that its test awaits. */
     private static final class Node implements ControlListener<ChainFold.Chain> {
         final CountDownLatch mLeaving = new CountDownLatch(1);
         final CountDownLatch mEvidence = new CountDownLatch(1);
@@ -96,8 +98,8 @@
 
     @Test
     void isNotReadyWhileNobodyAnswers() throws Exception {
-        // Caller: a node that knows no route answers everything with "no such route". Platform and
-        // peers are all unreachable at its start.
+        // A node without routes answers every request with "no such route". It must not become
+        // ready if the platform and all peers are unreachable at its start.
         mStandin.setMode(PlatformMode.DOWN);
         Node alone = start(0, List.of());
         while (alone.mMetrics.counter("platform.failures").getCount() < 3) {
--- a/src/test/java/org/apricotgauge/http/BearerKeyTest.java
+++ b/src/test/java/org/apricotgauge/http/BearerKeyTest.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.junit.jupiter.api.Test;
 
-/** Reading the key of a request. */
+/** Tests reading the API key of a request. */
 class BearerKeyTest {
     private static final Credentials KEY = Credentials.ofKey(KeyDigest.of("k1"));
 
--- a/src/test/java/org/apricotgauge/http/EvictableConnectionPoolTest.java
+++ b/src/test/java/org/apricotgauge/http/EvictableConnectionPoolTest.java
@@ -8,14 +8,14 @@
 import org.eclipse.jetty.client.Request;
 import org.junit.jupiter.api.Test;
 
-/** A pool that ends. */
+/** Tests closing a connection pool. */
 class EvictableConnectionPoolTest {
 
     @Test
     void removesPlaceWithoutConnection() throws Exception {
-        // A node stops while one of its connections to a target is not there yet. The pool gives
-        // up a place that holds no connection; the failure of that broke off the client's stop,
-        // seen once in a test of the request path.
+        // A node stops while a connection to a target is still being opened. The pool then removes
+        // an entry without a connection. An exception there aborted the client's stop, seen once in
+        // a test of the request path.
         HttpClient client = new HttpClient();
         client.start();
         try (ServerSocket target = new ServerSocket(0)) {
--- a/src/test/java/org/apricotgauge/http/ReplayableBodyTest.java
+++ b/src/test/java/org/apricotgauge/http/ReplayableBodyTest.java
@@ -50,8 +50,8 @@
 
     @Test
     void abandonedAttemptCannotReadFurther() {
-        // The caller's bytes must reach the attempt that is under way, and no other. The first
-        // attempt is given up and still reads; it gets an error, and takes nothing from the second.
+        // The caller's bytes must reach only the current attempt. The first attempt is abandoned
+        // and still reads: it must get an error, and consume nothing of the second attempt.
         ReplayableBody body = body(100, "ab", "cd");
         Request.Content first = body.open();
         assertThat(read(first, 1)).isEqualTo("ab");
--- a/src/test/java/org/apricotgauge/peer/MessageCodecTest.java
+++ b/src/test/java/org/apricotgauge/peer/MessageCodecTest.java
@@ -34,7 +34,7 @@
 
     @Test
     void ignoresFieldsAndTypesOfLaterRelease() throws IOException {
-        // Fleet: half of it runs a later release for a while, whose messages hold more.
+        // During a rolling upgrade, half the fleet runs a later release with longer messages.
         byte[] body =
                 new ObjectMapper(new MessagePackFactory())
                         .writeValueAsBytes(Map.of("sinceRevision", 4, "later", List.of(1, 2)));
