--- a/src/main/java/org/apricotgauge/directory/AgeAdjustingSource.java
+++ b/src/main/java/org/apricotgauge/directory/AgeAdjustingSource.java
@@ -5,10 +5,11 @@
 import org.apricotgauge.time.SuspendAwareClock;
 
 /**
- * A source whose answers are as old as their questions at least.
+ * Decorates a source so that the age of each page includes the time since the request was sent.
  *
- * <p>Nobody knows how long an answer was on its way; since its question was asked is the most. So a
- * watch that waited for a change brings the change, and confirms nothing younger than itself.
+ * <p>The transit time of an answer is unknown, but cannot exceed the time since its request. A
+ * watch that waited for a change therefore delivers the change, and confirms nothing more recent
+ * than its own start.
  */
 final class AgeAdjustingSource implements PublishedSource {
     private final PublishedSource mSource;
@@ -19,7 +20,7 @@
         mClock = Checks.notNull("clock", clock);
     }
 
-    /** Returns the parts of a feed with sources of this kind. */
+    /** Returns the parts of a feed with both kinds of sources decorated. */
     static DirectoryFeed.Parts wrap(DirectoryFeed.Parts parts, SuspendAwareClock clock) {
         return new DirectoryFeed.Parts(
                 new AgeAdjustingSource(parts.platform(), clock),
@@ -34,14 +35,14 @@
 
     @Override
     public CompletableFuture<PublishedPage> read(long afterRevision, long waitMillis) {
-        long askedMillis = mClock.millis();
+        long requestedAtMillis = mClock.millis();
         return mSource.read(afterRevision, waitMillis)
-                .thenApply(page -> withTransitTime(page, askedMillis));
+                .thenApply(page -> withTransitTime(page, requestedAtMillis));
     }
 
-    private PublishedPage withTransitTime(PublishedPage page, long askedMillis) {
+    private PublishedPage withTransitTime(PublishedPage page, long requestedAtMillis) {
         return page.isAgeKnown()
-                ? page.withAgeMillis(page.ageMillis() + mClock.millis() - askedMillis)
+                ? page.withAgeMillis(page.ageMillis() + mClock.millis() - requestedAtMillis)
                 : page;
     }
 }
--- a/src/main/java/org/apricotgauge/directory/ConfirmationTracker.java
+++ b/src/main/java/org/apricotgauge/directory/ConfirmationTracker.java
@@ -3,23 +3,24 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * When the platform was last known to hold nothing newer than this node knows, and when it was last
- * known to answer anybody.
+ * Tracks when the platform was last known to hold nothing newer than this node has, and when it was
+ * last known to answer any node.
  *
  * <pre>{@code
- * long atMillis = askedMillis - ageMillis;
- * confirmations.confirmed(atMillis, nowMillis);  // read from the platform or another node
- * confirmations.heard(atMillis, nowMillis);      // told by a guard that knows no more
- * confirmations.answered(atMillis, nowMillis);   // told by a guard that knows more
+ * long atMillis = requestedAtMillis - ageMillis;
+ * tracker.recordRead(atMillis, nowMillis);              // read from the platform or a node
+ * tracker.recordPeerConfirmation(atMillis, nowMillis);  // reported by a guard, nothing newer
+ * tracker.recordPlatformAnswer(atMillis, nowMillis);    // reported by a guard that is ahead
  * }</pre>
  *
- * <p>Nobody knows how long a message was on its way, and an age does not grow meanwhile. So only
- * answers count, and each as if it had been given when this node asked. What was heard counts for
- * this node alone; it tells others only what it read itself.
+ * <p>The transit time of a message is unknown, and a reported age does not grow in transit. So only
+ * answers are recorded, each as if it had been given when this node sent its request. A peer's
+ * confirmation counts for this node alone; it reports to others only what it read itself.
  *
- * <p>It also tells when the platform came back, as far as this node can know: when it first
- * answered anybody again after so long that registrations may have run out meanwhile. That this
- * node heard nothing does not make it an absence; its own link may be full. Thread-safe.
+ * <p>Also determines when the platform recovered from an outage, as far as this node can know: when
+ * it first answered any node again after so long that registrations may have expired meanwhile.
+ * That this node received nothing is no evidence of an outage, as its own link may be saturated.
+ * Thread-safe.
  */
 final class ConfirmationTracker {
     private static final long NEVER = Long.MIN_VALUE / 4;
@@ -28,12 +29,12 @@
     private final AtomicReference<State> mState;
 
     /**
-     * What is known.
+     * The times recorded so far.
      *
-     * @param confirmedAtMillis when the platform last held nothing that is unknown here
-     * @param readAtMillis the same, by what this node read itself
+     * @param confirmedAtMillis when the platform last held nothing that this node lacks
+     * @param readAtMillis the same, only from reads of this node
      * @param answeredAtMillis when the platform last answered any node
-     * @param recoveredAtMillis when this node learned that it does again, after its last absence
+     * @param recoveredAtMillis when this node detected the end of the platform's last outage
      */
     private record State(
             long confirmedAtMillis,
@@ -46,57 +47,58 @@
         mState = new AtomicReference<>(new State(nowMillis, nowMillis, nowMillis, NEVER));
     }
 
-    /** Notes that this node read that at that time the platform held nothing that it lacks. */
+    /** Records a read by which the platform held nothing at that time that this node lacks. */
     void recordRead(long atMillis, long nowMillis) {
         mState.updateAndGet(
-                known -> {
-                    State heard = withConfirmation(known, atMillis, nowMillis);
+                state -> {
+                    State updated = withConfirmation(state, atMillis, nowMillis);
                     return new State(
-                            heard.confirmedAtMillis,
-                            Math.max(known.readAtMillis, atMillis),
-                            heard.answeredAtMillis,
-                            heard.recoveredAtMillis);
+                            updated.confirmedAtMillis,
+                            Math.max(state.readAtMillis, atMillis),
+                            updated.answeredAtMillis,
+                            updated.recoveredAtMillis);
                 });
     }
 
-    /** Notes that another node said so, in answer to this one. */
+    /** Records the same as reported by another node, in an answer to this one. */
     void recordPeerConfirmation(long atMillis, long nowMillis) {
-        mState.updateAndGet(known -> withConfirmation(known, atMillis, nowMillis));
+        mState.updateAndGet(state -> withConfirmation(state, atMillis, nowMillis));
     }
 
-    /** Notes that at that time the platform answered this node or another. */
+    /** Records that the platform answered this node or another at that time. */
     void recordPlatformAnswer(long atMillis, long nowMillis) {
-        mState.updateAndGet(known -> withAnswer(known, atMillis, nowMillis));
+        mState.updateAndGet(state -> withAnswer(state, atMillis, nowMillis));
     }
 
-    private State withConfirmation(State known, long atMillis, long nowMillis) {
-        State answered = withAnswer(known, atMillis, nowMillis);
+    private State withConfirmation(State state, long atMillis, long nowMillis) {
+        State answered = withAnswer(state, atMillis, nowMillis);
         return new State(
-                Math.max(known.confirmedAtMillis, atMillis),
-                known.readAtMillis,
+                Math.max(state.confirmedAtMillis, atMillis),
+                state.readAtMillis,
                 answered.answeredAtMillis,
                 answered.recoveredAtMillis);
     }
 
-    private State withAnswer(State known, long atMillis, long nowMillis) {
-        return atMillis <= known.answeredAtMillis
-                ? known
+    private State withAnswer(State state, long atMillis, long nowMillis) {
+        return atMillis <= state.answeredAtMillis
+                ? state
                 : new State(
-                        known.confirmedAtMillis,
-                        known.readAtMillis,
+                        state.confirmedAtMillis,
+                        state.readAtMillis,
                         atMillis,
-                        recoveredAtMillis(known, atMillis, nowMillis));
+                        recoveredAtMillis(state, atMillis, nowMillis));
     }
 
-    private long recoveredAtMillis(State known, long answeredMillis, long nowMillis) {
-        boolean wasAway = answeredMillis - known.answeredAtMillis >= mTimes.minExpiryOutageMillis();
-        return wasAway ? nowMillis : known.recoveredAtMillis;
+    private long recoveredAtMillis(State state, long answeredAtMillis, long nowMillis) {
+        boolean wasUnavailable =
+                answeredAtMillis - state.answeredAtMillis >= mTimes.minExpiryOutageMillis();
+        return wasUnavailable ? nowMillis : state.recoveredAtMillis;
     }
 
-    /** Forgets that anything was confirmed: time has passed that no steady clock tells. */
+    /** Discards all confirmations after a pause, which the monotonic clock may not have counted. */
     void reset() {
         mState.updateAndGet(
-                known -> new State(NEVER, NEVER, known.answeredAtMillis, known.recoveredAtMillis));
+                state -> new State(NEVER, NEVER, state.answeredAtMillis, state.recoveredAtMillis));
     }
 
     /** Returns the time since the last confirmation, in milliseconds. */
@@ -104,30 +106,30 @@
         return Math.max(0, nowMillis - mState.get().confirmedAtMillis);
     }
 
-    /** Returns the time since the last confirmation that this node read, in milliseconds. */
+    /** Returns the age to report to other nodes: since the last read, in milliseconds. */
     long reportedAgeMillis(long nowMillis) {
         return Math.max(0, nowMillis - mState.get().readAtMillis);
     }
 
     /**
-     * Returns until when a target keeps its place whose registration is now found to have ended
-     * without a word.
+     * Returns until when to retain a target whose registration is now found to have ended without a
+     * leaving notice.
      *
-     * <p>While the platform is there, the registration may have ended right after the last
-     * confirmation, and its target takes requests for no longer than {@link
-     * PlatformTimes#servesOnMillis} after that. After an absence it may have run out though its
-     * target lives; all of a service may be missing then, and callers would be refused until the
-     * targets are back.
+     * <p>While the platform is available, the registration may have ended right after the last
+     * confirmation, and its target accepts requests for no longer than {@link
+     * PlatformTimes#servesOnMillis} after that. After an outage the registration may have expired
+     * although its target is alive; all targets of a service may be missing then, and its callers
+     * would be refused until the targets register again.
      */
     long retainUntilMillis(long nowMillis) {
-        State known = mState.get();
-        long usualMillis =
+        State state = mState.get();
+        long retainedUntilMillis =
                 Math.min(
                         nowMillis + mTimes.maxRetentionMillis(),
-                        known.confirmedAtMillis + mTimes.workWindowMillis());
+                        state.confirmedAtMillis + mTimes.workWindowMillis());
         return Math.max(
-                usualMillis,
-                recoveredAtMillis(known, nowMillis, nowMillis)
+                retainedUntilMillis,
+                recoveredAtMillis(state, nowMillis, nowMillis)
                         + PlatformTimes.REGISTRATION_RECOVERY_MILLIS);
     }
 }
--- a/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
+++ b/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
@@ -13,45 +13,41 @@
 import org.apricotgauge.time.Ticker;
 
 /**
- * Keeps a node's picture of the site true: reads it from the platform or from another node, and
- * tells it to others.
+ * Keeps a node's view of the site current and serves it to other nodes.
  *
  * <pre>{@code
  * DirectoryFeed feed = new DirectoryFeed(parts, listener);
  * feed.start();
- * feed.hint(revisionOfPeer, peer);      // from any hop
+ * feed.hint(revisionOfPeer, peer);      // on any hop
  * feed.tick();                          // every 100 ms or so, on the worker
  * }</pre>
  *
- * <p>The platform's revisions order all changes, so that whoever has the higher one is right. A few
- * nodes watch the platform; each other one watches its parent in the {@link ReaderTree} and asks it
- * for a younger view before its own grows old. Whoever is told none in time asks the platform, so
- * that no view depends on another node. Every hop between nodes carries the sender's revision too:
- * a node that lags by {@link #HINT_DELAY_MILLIS} fetches what it misses from the node that said so.
- * All work is done on one worker thread.
+ * <p>The platform's revisions order all changes, so the higher one wins. A few nodes watch the
+ * platform; each other node watches its parent in the {@link ReaderTree} and requests a fresher
+ * view before its own becomes stale. A node that receives none in time queries the platform, so
+ * that no view depends on another node. Every hop between nodes also carries the sender's revision:
+ * a node that lags by {@link #HINT_DELAY_MILLIS} fetches the missing changes from that sender. All
+ * work runs on one worker thread.
  */
 public final class DirectoryFeed implements AutoCloseable {
-    /**
-     * How long one watch waits, in milliseconds. One at the platform costs a call each time; that
-     * it still works is found out by the age of the view, see {@link #refreshIfStale}.
-     */
+    /** Watch duration; each costs a platform call. For broken ones see {@link #refreshIfStale}. */
     static final long WATCH_MILLIS = 10_000;
 
-    /** Longest wait for an answer beyond what was asked for; answers take 4 ms, slow ones 250. */
+    /** Answer timeout beyond the requested wait, in ms; answers take 4 ms, slow ones 250 ms. */
     static final long ANSWER_TIMEOUT_MILLIS = 1_000;
 
     /**
-     * Pause of a platform's reader after a page with changes: those of the next 0.3 s come in one
-     * call. A version still is in force well within the 2 s that it may take.
+     * Pause after a page with changes from the platform, so that the changes of the next 0.3 s come
+     * in one call. A version still takes effect well within the 2 s that it may take.
      */
     static final long PLATFORM_BATCHING_MILLIS = 300;
 
-    /** The same for a reader of another node, which nobody counts. */
+    /** The same after a page from another node, whose reads cost no platform call. */
     static final long NODE_BATCHING_MILLIS = 50;
 
     /**
-     * How long a peer may be ahead before it is asked. Two readers of the platform differ by their
-     * pauses after a page, and the nodes below them by some milliseconds more.
+     * How long a peer may be ahead before it is queried. Two readers of the platform differ by
+     * their pauses after a page, and the nodes below them by some milliseconds more.
      */
     static final long HINT_DELAY_MILLIS = 400;
 
@@ -73,24 +69,24 @@
     private boolean mIsClosed;
     private long mRefreshAtAgeMillis;
 
-    /** Hears what became of the site, on the worker thread. */
+    /** Receives changes of the site on the worker thread. */
     @FunctionalInterface
     public interface Listener {
-        /** Something that requests depend on is different. */
+        /** Called after a change of anything that requests depend on. */
         void onSiteChanged(SiteDirectory directory);
     }
 
     /**
-     * What a feed works with.
+     * The dependencies of a feed.
      *
      * @param platform the platform
-     * @param peers another node as a source, by the address of its guard
-     * @param decoder reads items
-     * @param worker runs all work, one piece after the other
-     * @param ticker time of intervals
-     * @param wallMillis time of day in milliseconds; it goes on while the VM is suspended
-     * @param random chooses peers and spreads questions
-     * @param times by which the platform lets targets leave
+     * @param peers returns another node as a source, by the address of its guard
+     * @param decoder decodes items
+     * @param worker runs all tasks in sequence
+     * @param ticker monotonic clock
+     * @param wallMillis wall clock in milliseconds; it advances while the VM is suspended
+     * @param random chooses peers and spreads queries over time
+     * @param times timing of registrations at the platform
      */
     public record Parts(
             PublishedSource platform,
@@ -102,7 +98,7 @@
             RandomGenerator random,
             PlatformTimes times) {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Parts {
             Checks.notNull("platform", platform);
             Checks.notNull("peers", peers);
@@ -117,96 +113,94 @@
 
     /** Creates a feed that is not started. */
     public DirectoryFeed(Parts parts, Listener listener) {
-        SuspendAwareClock elapsed = new SuspendAwareClock(parts.ticker(), parts.wallMillis());
-        mParts = AgeAdjustingSource.wrap(parts, elapsed);
-        mViewAge = new ViewAgeTracker(mParts, elapsed);
+        SuspendAwareClock clock = new SuspendAwareClock(parts.ticker(), parts.wallMillis());
+        mParts = AgeAdjustingSource.wrap(parts, clock);
+        mViewAge = new ViewAgeTracker(mParts, clock);
         mListener = Checks.notNull("listener", listener);
         mSite = new SiteState(parts.decoder(), mLog);
         mParent = new ParentLink(mParts, mLog, this::applyQueriedPage, this::refreshWithoutNode);
         mReaders = new WaitingReaders(new LocalView(), parts.times());
         mHints = new PeerHints(mParts, mLog, this::applyPage);
         mWatch = new SiteWatch(mParts, this::applyParentPage);
-        mPlatform = new PlatformLink(mParts, mLog, (page, inTime) -> applyPage(page, null, inTime));
+        mPlatform =
+                new PlatformLink(mParts, mLog, (page, isTimely) -> applyPage(page, null, isTimely));
         mRefreshAtAgeMillis = drawRefreshAgeMillis();
     }
 
-    /** Begins to read. */
+    /** Starts reading. */
     public void start() {
         mParts.worker().execute(this::watchIfDue);
     }
 
-    /** Returns a future that completes once a configuration is known and was confirmed. */
+    /** Returns a future that completes once a configuration is known and confirmed. */
     public CompletableFuture<Void> ready() {
         return mReady;
     }
 
-    /** Returns whether what is known may be acted on: it is there, and confirmed after a pause. */
+    /** Returns whether the view may be acted on: it exists, and was confirmed since a pause. */
     public boolean mayAct() {
         return mReady.isDone() && mViewAge.mayAct();
     }
 
     /**
-     * Returns whether work may be sent to targets by what is known; cheap, from any thread.
+     * Returns whether the view is recent enough to send work to targets; cheap and thread-safe.
      *
-     * <p>A target may have left since the last confirmation, and serves on for a bounded time.
-     * While the platform does not answer, targets are served as they were last known.
+     * <p>A target may have left since the last confirmation, and accepts requests for a bounded
+     * time after that. While the platform does not answer, the last known targets stay in use.
      */
     public boolean isCurrent() {
         return mViewAge.ageMillis() <= mParts.times().maxUsableAgeMillis()
                 || mPlatform.isUnavailable();
     }
 
-    /** Notes the newest change that a peer knows; cheap, from any thread. */
+    /** Records the newest revision that a peer has; cheap and thread-safe. */
     public void hint(long newestRevision, Address peer) {
         mHints.hint(newestRevision, peer, mParts.ticker().millis(), !mReady.isDone());
     }
 
-    /** Returns a time to give to {@link #recordPeerView}; cheap, from any thread. */
+    /** Returns the present time for {@link #recordPeerView}; cheap and thread-safe. */
     public long elapsedMillis() {
         return mViewAge.elapsedMillis();
     }
 
     /**
-     * Notes what a peer told in answer to this node; cheap, from any thread.
+     * Records the view that a peer reported in an answer to this node; cheap and thread-safe.
      *
-     * @param told what the peer knew
-     * @param askedMillis when this node asked, by {@link #elapsedMillis}; the answer may have been
-     *     on its way ever since
+     * @param reported the peer's view
+     * @param requestedAtMillis when this node sent its request, by {@link #elapsedMillis}; the
+     *     answer may have been in transit ever since
      */
-    public void recordPeerView(SiteView told, long askedMillis) {
-        // After a pause of this process the word may have waited here for as long as the pause.
+    public void recordPeerView(SiteView reported, long requestedAtMillis) {
+        // After a pause of this process the answer may have been buffered for as long as the pause.
         if (!mayAct()) {
             return;
         }
-        long atMillis = askedMillis - told.ageMillis();
-        if (told.revision() <= mSite.items().revision()) {
+        long atMillis = requestedAtMillis - reported.ageMillis();
+        if (reported.revision() <= mSite.items().revision()) {
             mViewAge.recordPeerConfirmation(atMillis);
         } else {
             mViewAge.recordPlatformAnswer(atMillis);
         }
     }
 
-    /** Returns the items as known now. */
+    /** Returns the current items. */
     ItemTable items() {
         return mSite.items();
     }
 
-    /** Returns the revision of the newest change that is known. */
+    /** Returns the revision of the newest known change. */
     public long newestRevision() {
         return mSite.items().newestRevision();
     }
 
-    /** Returns what is known of the site, and since when the platform may know more. */
+    /** Returns the newest known revision, and since when the platform may hold newer changes. */
     public SiteView view() {
-        // In this order: a change that comes in between makes the age too high, never too low.
+        // Age first: a change between the two reads makes the age too high, never too low.
         long ageMillis = mViewAge.ageMillis();
         return new SiteView(newestRevision(), ageMillis);
     }
 
-    /**
-     * Returns up to which revision this node knows all changes, and since when the platform may
-     * hold others, as it may be told to other nodes: by what this node read itself.
-     */
+    /** Returns the complete revision and its age by own reads, to report to other nodes. */
     public SiteView reportedView() {
         long ageMillis = mViewAge.reportedMillis();
         return new SiteView(mSite.items().revision(), ageMillis);
@@ -215,15 +209,15 @@
     /**
      * Sets the nodes of the site; called on the worker.
      *
-     * @param tree tells whom to read from
-     * @param peers guards that may be asked while the platform does not answer
+     * @param tree decides which node to read from
+     * @param peers guards that may be queried while the platform does not answer
      */
     public void setNodes(ReaderTree tree, List<Address> peers) {
         mParent.setTree(tree);
         mHints.setPeers(peers);
     }
 
-    /** Does what is due; called on the worker. */
+    /** Runs all due work; called on the worker. */
     public void tick() {
         if (mIsClosed) {
             return;
@@ -255,7 +249,7 @@
         mHints.onResumed();
         mPlatform.cancel();
         mParent.cancel();
-        // The waiting call may hang on a connection that is silent for good; a new one asks now.
+        // The pending watch may hang on a dead connection; a new call replaces it at once.
         watch(nowMillis, 0);
         mHints.queryAnyPeer(mSite.items().revision(), nowMillis);
     }
@@ -268,7 +262,7 @@
     }
 
     private void followHint(long nowMillis) {
-        // A whole read may be newer than all items in it, when a target came and went meanwhile.
+        // A full read may be newer than all its items, if a target was added and removed meanwhile.
         ItemTable items = mSite.items();
         long knownRevision = Math.max(items.newestRevision(), items.revision());
         if (mHints.consumeDueHint(HINT_DELAY_MILLIS, knownRevision, nowMillis)) {
@@ -290,21 +284,21 @@
 
     private void watch(long nowMillis, long waitMillis) {
         Address node = mParent.node();
-        PendingRead.CompletionListener end =
+        PendingRead.CompletionListener listener =
                 node == null
                         ? new PlatformWatchListener()
                         : mParent.watchListener(node, () -> mWatch.pause(NODE_BATCHING_MILLIS));
-        mWatch.start(node, mSite.items().revision(), waitMillis, nowMillis, end);
+        mWatch.start(node, mSite.items().revision(), waitMillis, nowMillis, listener);
     }
 
-    /** How a read of the platform ends that waits for changes, or that would like to. */
+    /** Handles the end of a platform watch, or of the immediate read that precedes one. */
     private final class PlatformWatchListener implements PendingRead.CompletionListener {
         @Override
         public void answered(PublishedPage page) {
             recordPlatformAnswer();
-            // A start waits for nothing: its first page may be old, and callers wait meanwhile.
-            boolean asksAtOnce = page.items().isEmpty() || !mViewAge.wasRead();
-            mWatch.pause(asksAtOnce ? 0 : PLATFORM_BATCHING_MILLIS);
+            // At startup the first page may be stale, and callers are waiting: read again at once.
+            boolean readsAtOnce = page.items().isEmpty() || !mViewAge.wasRead();
+            mWatch.pause(readsAtOnce ? 0 : PLATFORM_BATCHING_MILLIS);
             watchIfDue();
         }
 
@@ -314,9 +308,9 @@
         }
     }
 
-    // A watch that went silent looks like one with nothing to tell. Requests went to targets up to
-    // 11 s after they had left, until it was given up. So a node whose view nobody confirmed for
-    // long enough asks its parent; and if that does not help, or there is none, the platform.
+    // A watch on a dead connection looks like one without changes: requests went to targets up to
+    // 11 s after they had left, until it timed out. So a node whose view is not confirmed in time
+    // queries its parent, and the platform if that does not help or there is none.
     private void refreshIfStale(long nowMillis) {
         long ageMillis = mViewAge.ageMillis();
         if (mParent.queriedNode() != null && ageMillis >= mParts.times().nodeQueryAgeMillis()) {
@@ -361,24 +355,24 @@
         }
     }
 
-    // Nodes that were confirmed together would all ask together; spread over a part of the time,
-    // the first ones' answers spare most of the others their question.
+    // Nodes that were confirmed together would all query together. Spread over an interval, the
+    // answers to the first ones spare most of the others their query.
     private long drawRefreshAgeMillis() {
         PlatformTimes times = mParts.times();
-        long leastMillis =
+        long minAgeMillis =
                 mParent.queriedNode() == null
                         ? times.nodeQueryAgeMillis()
                         : times.platformQueryAgeMillis();
-        return mParts.random().nextLong(leastMillis, times.maxViewAgeMillis() + 1);
+        return mParts.random().nextLong(minAgeMillis, times.maxViewAgeMillis() + 1);
     }
 
-    /** How a question to the platform ends that confirms what is known. */
+    /** Handles the end of a platform query that confirms the view. */
     private final class PlatformRefreshListener implements PendingRead.CompletionListener {
         @Override
         public void answered(PublishedPage page) {
             recordPlatformAnswer();
             if (!readsPlatform()) {
-                mParent.suspect(mParent.node(), "knows less than the platform told this node");
+                mParent.suspect(mParent.node(), "its view is behind the platform");
             } else if (!page.items().isEmpty() && mWatch.isInProgress()) {
                 mLog.logSilentWatch(page.revision());
                 mWatch.pause(PLATFORM_BATCHING_MILLIS);
@@ -403,28 +397,27 @@
         }
     }
 
-    private void applyParentPage(PublishedPage page, boolean inTime) {
-        applyPage(page, mParent.node(), inTime);
+    private void applyParentPage(PublishedPage page, boolean isTimely) {
+        applyPage(page, mParent.node(), isTimely);
     }
 
-    private void applyQueriedPage(PublishedPage page, boolean inTime) {
-        applyPage(page, mParent.queriedNode(), inTime);
+    private void applyQueriedPage(PublishedPage page, boolean isTimely) {
+        applyPage(page, mParent.queriedNode(), isTimely);
     }
 
-    private void applyPage(PublishedPage page, Address node, boolean inTime) {
+    private void applyPage(PublishedPage page, Address node, boolean isTimely) {
         long nowMillis = mParts.ticker().millis();
-        boolean isOvertaken = page.revision() < mSite.items().revision();
-        // A page that answers a read given up may be as old as its call: a watch's 10 s, or the
-        // pause of this process.
-        boolean tellsTime = page.isAgeKnown() && inTime;
-        if (tellsTime) {
-            // First, so that the page's own delay does not pass for an absence of the platform.
+        boolean isOutdated = page.revision() < mSite.items().revision();
+        // A page for a cancelled read may be as old as a watch's 10 s or a pause of this process.
+        boolean confirmsView = page.isAgeKnown() && isTimely;
+        if (confirmsView) {
+            // First, so that the delay of the page itself is not taken for a platform outage.
             mViewAge.recordPlatformAnswer(mViewAge.elapsedMillis() - page.ageMillis());
         }
         if (mSite.apply(page, originOf(node), nowMillis)) {
             mListener.onSiteChanged(mSite.directory());
         }
-        if (tellsTime && !isOvertaken) {
+        if (confirmsView && !isOutdated) {
             mViewAge.recordRead(page);
         }
         if (mSite.directory().configuration() != null && mViewAge.wasRead()) {
@@ -442,10 +435,10 @@
     }
 
     /**
-     * Tells another node what it does not know; from any thread.
+     * Returns the changes that another node lacks; thread-safe.
      *
      * @param afterRevision revision that it has
-     * @param waitMillis how long it waits for a change; 0 if it asks for a younger view
+     * @param waitMillis how long it waits for a change; 0 if it requests a fresher view
      */
     public CompletableFuture<PublishedPage> changesForNode(long afterRevision, long waitMillis) {
         CompletableFuture<PublishedPage> answer = new CompletableFuture<>();
@@ -460,7 +453,7 @@
         return answer;
     }
 
-    /** What other nodes are told. */
+    /** The view that is served to other nodes. */
     private final class LocalView implements WaitingReaders.View {
         @Override
         public ItemTable items() {
@@ -491,15 +484,14 @@
             return true;
         }
 
-        // The question to the platform may be lost; a node of another failure domain may have had
-        // its answer.
+        // The platform query may be lost; a node of another failure domain may have an answer.
         @Override
         public void onStaleAnswer() {
             mHints.queryAnyPeer(mSite.items().revision(), mParts.ticker().millis());
         }
     }
 
-    /** Calls nobody any more; the worker stays its owner's. */
+    /** Stops all reads; the worker remains under control of its owner. */
     @Override
     public void close() {
         mIsClosed = true;
--- a/src/main/java/org/apricotgauge/directory/DirectoryLog.java
+++ b/src/main/java/org/apricotgauge/directory/DirectoryLog.java
@@ -4,9 +4,9 @@
 import org.apricotgauge.model.Address;
 import org.jboss.logging.Logger;
 
-/** The lines that tell what a node believes of its site, and what each belief rests on. */
+/** Logs the changes of a node's view of its site, with the source of each. */
 final class DirectoryLog {
-    /** A page of at least this many bytes takes a narrow link a tenth of a second. */
+    /** A page of at least this many bytes occupies a narrow link for a tenth of a second. */
     private static final long LARGE_PAGE_BYTES = 100_000;
 
     private final StateLog mLog = new StateLog(Logger.getLogger(DirectoryFeed.class));
@@ -14,15 +14,15 @@
     private boolean mIsViewStale;
 
     /**
-     * What a step in the belief of a target rests on.
+     * The origin of a change of a target's state.
      *
-     * @param revision revision of the change; 0 for time that has run out
-     * @param source the platform, or the address of the peer that told it; empty for time
+     * @param revision revision of the change; 0 for an expiry
+     * @param source the platform, or the address of the peer that sent it; empty for an expiry
      * @param viewAgeMillis time since the last confirmation before it
-     * @param keepMillis how long a registration that ends without a word is kept for
+     * @param keepMillis how long a registration that ends without a leaving notice is retained
      */
     record Reading(long revision, String source, long viewAgeMillis, long keepMillis) {
-        /** Nothing was read; time has run out. */
+        /** Nothing was read; the retention of a registration expired. */
         static final Reading EXPIRY = new Reading(0, "", 0, 0);
     }
 
@@ -42,13 +42,13 @@
 
     private record PeerFailed(String peer, String reason) {}
 
-    /** Notes what the following steps in beliefs rest on. */
+    /** Sets the origin of the target changes that follow. */
     void setReading(Reading reading) {
         mReading = reading;
     }
 
     /**
-     * Notes how large a page is.
+     * Logs a page that is large.
      *
      * @param viewAgeMillis time since the last confirmation before it
      */
@@ -62,17 +62,17 @@
     }
 
     /**
-     * Notes how old the view is.
+     * Logs when the view becomes stale or fresh again.
      *
-     * @param boundMillis age from which on it is older than it should be
+     * @param maxAgeMillis age beyond which it is stale
      */
-    void logViewAge(long revision, long ageMillis, long boundMillis) {
-        boolean isOld = ageMillis > boundMillis;
-        if (isOld == mIsViewStale) {
+    void logViewAge(long revision, long ageMillis, long maxAgeMillis) {
+        boolean isStale = ageMillis > maxAgeMillis;
+        if (isStale == mIsViewStale) {
             return;
         }
-        mIsViewStale = isOld;
-        if (isOld) {
+        mIsViewStale = isStale;
+        if (isStale) {
             mLog.warn("view of the site is too old", new View(revision, ageMillis));
         } else {
             mLog.info("view of the site is young again", new View(revision, ageMillis));
@@ -87,8 +87,8 @@
         if (change instanceof SiteChange.Unreadable unreadable) {
             mLog.warn("published item is unreadable", unreadable);
         }
-        if (change instanceof SiteChange.InvalidRegistration unusable) {
-            mLog.warn("registration names no target", unusable);
+        if (change instanceof SiteChange.InvalidRegistration invalid) {
+            mLog.warn("registration names no target", invalid);
         }
     }
 
@@ -112,7 +112,7 @@
         mLog.warn("peer does not tell what it knows", new PeerFailed(peer.toString(), reason));
     }
 
-    /** Tells whom the site is read from; null for the platform. */
+    /** Logs the node that the site is read from; null for the platform. */
     void logParent(Address parent, long revision) {
         String source = parent == null ? "platform" : parent.toString();
         mLog.info("site is read from", new Parent(source, revision));
--- a/src/main/java/org/apricotgauge/directory/ItemTable.java
+++ b/src/main/java/org/apricotgauge/directory/ItemTable.java
@@ -9,19 +9,19 @@
 import org.pcollections.PMap;
 
 /**
- * All published items as one node knows them; immutable.
+ * An immutable table of all published items that one node knows.
  *
  * <pre>{@code
  * ItemTable next = table.with(page);
  * PublishedPage forPeer = next.changesAfter(peerRevision);
  * }</pre>
  *
- * <p>A page that is older than the table changes nothing, so that neither a stale answer of the
- * platform nor a peer that lags can bring back an earlier state. Marks of removed keys are kept, so
- * that a peer that asks for changes hears of them.
+ * <p>A page that is older than the table is ignored, so that neither a stale answer of the platform
+ * nor a lagging peer can restore an earlier state. Tombstones of removed keys are kept, so that a
+ * peer that requests changes receives them.
  */
 public final class ItemTable {
-    /** Knows nothing. */
+    /** A table without items. */
     public static final ItemTable EMPTY =
             new ItemTable(0, new UnseenRevisions(0, 0, 0), HashTreePMap.empty());
 
@@ -31,12 +31,12 @@
     private final PMap<String, PublishedItem> mItems;
 
     /**
-     * Revisions from which on this node has not seen every change: those before its first whole
-     * read, and those over which a later one passed.
+     * Revisions after which this node has not seen every change: those before its first full read,
+     * and those that a later full read skipped.
      *
-     * @param first revision of the first whole read
-     * @param gapFrom last revision before the earliest later one
-     * @param gapTo revision of the latest one
+     * @param first revision of the first full read
+     * @param gapFrom last revision before the earliest later full read
+     * @param gapTo revision of the latest full read
      */
     private record UnseenRevisions(long first, long gapFrom, long gapTo) {
         UnseenRevisions withFullRead(long before, long after) {
@@ -64,12 +64,12 @@
         return mRevision;
     }
 
-    /** Returns the revision of the newest change; it tells two tables apart, whoever read later. */
+    /** Returns the revision of the newest change, whenever the table was last read. */
     public long newestRevision() {
         return mNewestRevision;
     }
 
-    /** Returns whether the table has ever taken a whole page. */
+    /** Returns whether the table contains a full page. */
     public boolean isInitialized() {
         return mRevision > 0;
     }
@@ -79,7 +79,7 @@
         return mItems.get(key);
     }
 
-    /** Returns the table with a page taken in; this one if the page is not newer. */
+    /** Returns the table with a page applied; this one if the page is older. */
     public ItemTable with(PublishedPage page) {
         if (page.revision() < mRevision || (!page.full() && !isInitialized())) {
             return this;
@@ -117,10 +117,11 @@
     }
 
     /**
-     * Returns the items that an earlier table does not have so, oldest change first.
+     * Returns the items that differ from an earlier table, oldest change first.
      *
-     * <p>They can't be told by their revisions alone: pages of a whole read are no snapshot, and a
-     * later one may hold a newer change than one that a watch brings only afterwards.
+     * <p>Comparing revisions with the earlier table's newest one is not enough: the pages of a full
+     * read are no snapshot, and a later page may hold a newer change than one that a watch delivers
+     * only afterwards.
      */
     public List<PublishedItem> changedSince(ItemTable earlier) {
         return mItems.values().stream()
@@ -133,25 +134,26 @@
         return known == null ? !item.removed() : known.revision() != item.revision();
     }
 
-    /** Returns whether a reader that has everything up to a revision lacks something. */
+    /** Returns whether a reader that has all changes up to a revision lacks any change. */
     boolean hasChangesFor(long revision) {
         return mNewestRevision > revision || mUnseenRevisions.contains(revision);
     }
 
     /**
-     * Returns the items that changed after a revision, oldest first; all of them if this node did
-     * not see all changes since.
+     * Returns the items that changed after a revision, oldest first; all items if this node has not
+     * seen all changes since.
      *
-     * <p>A whole read brings no marks of keys removed before it. A reader that knew such a key
-     * would never hear of its end from the changes alone, and would use a target that is long gone.
+     * <p>A full read contains no tombstones of keys removed before it. A reader that has such a key
+     * would never learn of its removal from the changes alone, and would keep using a removed
+     * target.
      */
     public PublishedPage changesAfter(long revision) {
-        boolean whole = revision == 0 || mUnseenRevisions.contains(revision);
+        boolean isFull = revision == 0 || mUnseenRevisions.contains(revision);
         List<PublishedItem> changed =
                 mItems.values().stream()
-                        .filter(item -> whole ? !item.removed() : item.revision() > revision)
+                        .filter(item -> isFull ? !item.removed() : item.revision() > revision)
                         .sorted(Comparator.comparingLong(PublishedItem::revision))
                         .toList();
-        return new PublishedPage(mRevision, whole, changed);
+        return new PublishedPage(mRevision, isFull, changed);
     }
 }
--- a/src/main/java/org/apricotgauge/directory/PageCodec.java
+++ b/src/main/java/org/apricotgauge/directory/PageCodec.java
@@ -8,16 +8,16 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Writes pages as nodes send them to each other, in MessagePack, and reads them back.
+ * Encodes pages in MessagePack, as nodes send them to each other, and decodes them.
  *
  * <pre>{@code
  * byte[] bytes = codec.encode(page, true);
  * PublishedPage page = codec.decode(bytes);
  * }</pre>
  *
- * <p>A node tells up to a dozen others. Sent as it is, a configuration of a thousand routes keeps a
- * narrow link busy for seconds, and whatever changes meanwhile waits behind it; so large values are
- * compressed for readers that can take them so. Thread-safe.
+ * <p>A node serves up to a dozen others. Uncompressed, a configuration of a thousand routes
+ * occupies a narrow link for seconds and delays all later changes, so large values are compressed
+ * for readers that support it. Thread-safe.
  */
 public final class PageCodec {
     private static final ObjectMapper MAPPER =
@@ -29,19 +29,19 @@
     /**
      * An item on the wire.
      *
-     * @param plainBytes length of the value before it was compressed; null if it was not
+     * @param plainBytes length of the value before compression; null if it is not compressed
      */
     private record ItemMessage(
             String key, byte[] value, long revision, boolean removed, Integer plainBytes) {}
 
-    /** A page on the wire; a node of an earlier release tells no age. */
+    /** A page on the wire; nodes of earlier releases send no age. */
     private record PageMessage(
             long revision, boolean whole, List<ItemMessage> items, Long ageMillis) {}
 
     /**
-     * Returns the bytes of a page.
+     * Encodes a page.
      *
-     * @param compressed whether the reader takes compressed values
+     * @param compressed whether the reader supports compressed values
      */
     public byte[] encode(PublishedPage page, boolean compressed) {
         List<ItemMessage> items =
@@ -51,21 +51,21 @@
         try {
             return MAPPER.writeValueAsBytes(message);
         } catch (IOException e) {
-            throw new IllegalStateException("a page can always be written", e);
+            throw new IllegalStateException("cannot encode page", e);
         }
     }
 
     private ItemMessage message(PublishedItem item, boolean compressed) {
-        boolean packs = compressed && item.value().length >= ValueCompressor.MIN_BYTES;
-        byte[] value = packs ? mCompressor.compress(item.value()) : item.value();
-        Integer plainBytes = packs ? item.value().length : null;
+        boolean isCompressed = compressed && item.value().length >= ValueCompressor.MIN_BYTES;
+        byte[] value = isCompressed ? mCompressor.compress(item.value()) : item.value();
+        Integer plainBytes = isCompressed ? item.value().length : null;
         return new ItemMessage(item.key(), value, item.revision(), item.removed(), plainBytes);
     }
 
     /**
-     * Returns the page that the bytes hold.
+     * Decodes a page.
      *
-     * @throws IOException if they hold none
+     * @throws IOException if the bytes are not a valid page
      */
     public PublishedPage decode(byte[] bytes) throws IOException {
         PageMessage message = MAPPER.readValue(bytes, PageMessage.class);
--- a/src/main/java/org/apricotgauge/directory/ParentLink.java
+++ b/src/main/java/org/apricotgauge/directory/ParentLink.java
@@ -6,10 +6,11 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * The node that this one reads the site from, or that confirms its view if it reads the platform.
+ * Selects and queries the node that this one reads the site from, or that confirms its view if it
+ * reads the platform.
  *
- * <p>A parent that does not answer, or that can't tell how old its view is, is passed over for a
- * while; the next in the {@link ReaderTree} takes its place. Not thread-safe.
+ * <p>A parent that does not answer, or does not know the age of its view, is skipped for a while,
+ * and the next in the {@link ReaderTree} replaces it. Not thread-safe.
  */
 final class ParentLink {
     private final DirectoryFeed.Parts mParts;
@@ -23,22 +24,22 @@
     private long mNextQueryMillis;
 
     /**
-     * Creates a link to nobody: the platform is read.
+     * Creates a link without a node, so that the platform is read.
      *
-     * @param parts what the feed works with
-     * @param log takes what is believed of other nodes
-     * @param onPage takes what the node tells that was asked
-     * @param onStillOld runs when a question brought no younger view
+     * @param parts dependencies of the feed
+     * @param log logs the state of other nodes
+     * @param pageListener receives the pages of the queried node
+     * @param onStillStale runs after a query that brought no fresher view
      */
     ParentLink(
             DirectoryFeed.Parts parts,
             DirectoryLog log,
-            PendingRead.PageListener onPage,
-            Runnable onStillOld) {
+            PendingRead.PageListener pageListener,
+            Runnable onStillStale) {
         mParts = Checks.notNull("parts", parts);
         mLog = Checks.notNull("log", log);
-        mQuery = new PendingRead(parts.worker(), onPage);
-        mOnStillStale = Checks.notNull("onStillOld", onStillOld);
+        mQuery = new PendingRead(parts.worker(), pageListener);
+        mOnStillStale = Checks.notNull("onStillStale", onStillStale);
     }
 
     /** Returns the node to read from; null for the platform. */
@@ -46,7 +47,7 @@
         return mNode;
     }
 
-    /** Returns the node to ask for a younger view; null if only the platform can be asked. */
+    /** Returns the node to query for a fresher view; null if only the platform can be queried. */
     Address queriedNode() {
         return mNode == null ? mConfirmer : mNode;
     }
@@ -60,22 +61,22 @@
     }
 
     /**
-     * Looks whom to read from now; returns whether it is somebody else than before.
+     * Selects the node to read from; returns whether it changed.
      *
-     * <p>A node that has just started has nobody's word yet that its neighbours answer. After one
-     * failure it reads the platform, so that its callers need not wait while it tries one by one.
+     * <p>A node that has just started does not know yet which of its neighbors answer. After one
+     * failure it reads the platform, so that its callers need not wait while it tries them in turn.
      *
-     * @param isStarting whether the node is not open to callers yet
-     * @param revision what is known, for the log
+     * @param isStarting whether the node is not ready for callers yet
+     * @param revision revision that this node has, for the log
      */
     boolean selectNodes(boolean isStarting, long revision, long nowMillis) {
-        boolean isHurried = isStarting && !mSuspects.isEmpty();
-        Predicate<Address> isSuspect = one -> isHurried || mSuspects.contains(one, nowMillis);
-        Address askedBefore = queriedNode();
+        boolean skipsNodes = isStarting && !mSuspects.isEmpty();
+        Predicate<Address> isSuspect = node -> skipsNodes || mSuspects.contains(node, nowMillis);
+        Address queriedBefore = queriedNode();
         Address nodeBefore = mNode;
-        mNode = isHurried ? null : mTree.parent(isSuspect).orElse(null);
+        mNode = skipsNodes ? null : mTree.parent(isSuspect).orElse(null);
         mConfirmer = mTree.confirmer(isSuspect).orElse(null);
-        if (!Objects.equals(queriedNode(), askedBefore)) {
+        if (!Objects.equals(queriedNode(), queriedBefore)) {
             mQuery.cancel();
         }
         if (Objects.equals(mNode, nodeBefore)) {
@@ -86,55 +87,56 @@
     }
 
     /**
-     * Asks for a younger view, unless that was done a moment ago.
+     * Requests a fresher view, unless a query is pending or the pause after the last one has not
+     * passed.
      *
-     * <p>A parent is given time to ask its own; whoever reads the platform asks that instead soon,
-     * since others wait for its answer.
+     * <p>A parent is given time to query its own parent. A reader of the platform times out earlier
+     * and queries the platform instead, since other nodes wait for its answer.
      *
-     * @param revision what this node knows
-     * @param pauseMillis least time until the next question
+     * @param revision revision that this node has
+     * @param pauseMillis minimum time until the next query
      */
     void query(long revision, long pauseMillis, long nowMillis) {
         if (mQuery.isInProgress() || nowMillis < mNextQueryMillis) {
             return;
         }
         mNextQueryMillis = nowMillis + pauseMillis;
-        long answerMillis = mParts.times().nodeTimeoutMillis();
+        long timeoutMillis = mParts.times().nodeTimeoutMillis();
         mQuery.start(
                 mParts.peers().apply(queriedNode()),
                 new PendingRead.Query(revision, 0),
-                nowMillis + (mNode == null ? answerMillis : 2 * answerMillis),
+                nowMillis + (mNode == null ? timeoutMillis : 2 * timeoutMillis),
                 new QueryListener(queriedNode()));
     }
 
-    /** Passes a node over for a while. */
+    /** Skips a node for a while. */
     void suspect(Address node, String reason) {
         mLog.logPeerFailure(node, reason);
         mSuspects.recordFailure(node, mParts.ticker().millis());
     }
 
-    /** Ends a question that is due. */
+    /** Ends a query that timed out. */
     void expire(long nowMillis) {
         mQuery.expire(nowMillis);
     }
 
-    /** Gives a question up. */
+    /** Cancels the pending query. */
     void cancel() {
         mQuery.cancel();
     }
 
-    // One whose page tells no age knows no more of the platform than this node.
+    // A node whose page has no known age knows no more of the platform than this node.
     private void suspectIfAgeUnknown(Address node, PublishedPage page) {
         if (!page.isAgeKnown()) {
-            suspect(node, "does not tell the age of its view");
+            suspect(node, "age of its view is unknown");
         }
     }
 
     /**
-     * Returns how a read of a node ends that waits for changes.
+     * Returns the listener of a watch at a node.
      *
      * @param node the node
-     * @param onAnswered runs when it was answered
+     * @param onAnswered runs after an answer
      */
     PendingRead.CompletionListener watchListener(Address node, Runnable onAnswered) {
         return new PendingRead.CompletionListener() {
@@ -154,8 +156,8 @@
     private final class QueryListener implements PendingRead.CompletionListener {
         private final Address mQueriedNode;
 
-        private QueryListener(Address asked) {
-            mQueriedNode = asked;
+        private QueryListener(Address queriedNode) {
+            mQueriedNode = queriedNode;
         }
 
         @Override
@@ -166,7 +168,7 @@
                 return;
             }
             if (mQueriedNode.equals(mConfirmer) && page.isAgeKnown()) {
-                suspect(mQueriedNode, "its view is no younger");
+                suspect(mQueriedNode, "its view is no fresher");
             }
             mOnStillStale.run();
         }
--- a/src/main/java/org/apricotgauge/directory/PeerHints.java
+++ b/src/main/java/org/apricotgauge/directory/PeerHints.java
@@ -6,12 +6,12 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Which other nodes may know more than this one.
+ * Tracks which other nodes may have newer changes than this one, and queries them.
  *
- * <p>Hints come from any thread; all else happens on the worker.
+ * <p>Hints may be recorded from any thread; everything else runs on the worker.
  */
 final class PeerHints {
-    /** Pause between two questions to peers while the platform does not answer. */
+    /** Interval between two queries to peers while the platform does not answer. */
     static final long QUERY_INTERVAL_MILLIS = 400;
 
     private static final int MAX_PEERS = 64;
@@ -24,44 +24,44 @@
     private long mPauseCount;
     private volatile Hint mHint = new Hint(0, null, 0);
 
-    /** Hears what a peer told. */
+    /** Receives pages from peers. */
     @FunctionalInterface
     interface PageListener {
         /**
-         * Takes a page.
+         * Called with the answer of a peer.
          *
          * @param page the page
-         * @param peer who told it
-         * @param inTime whether this process was not paused since the question
+         * @param peer the peer that sent it
+         * @param isTimely whether this process was not paused since the query
          */
-        void onPage(PublishedPage page, Address peer, boolean inTime);
+        void onPage(PublishedPage page, Address peer, boolean isTimely);
     }
 
     /**
-     * The newest change that a peer named.
+     * The newest revision that a peer reported.
      *
-     * @param revision its revision
-     * @param peer who named it; null before the first hint
-     * @param atMillis when it did, or when it was last followed
+     * @param revision the revision
+     * @param peer the peer that reported it; null before the first hint
+     * @param atMillis when it was reported, or when it was last followed
      */
     private record Hint(long revision, Address peer, long atMillis) {}
 
-    PeerHints(DirectoryFeed.Parts parts, DirectoryLog log, PageListener onPage) {
+    PeerHints(DirectoryFeed.Parts parts, DirectoryLog log, PageListener pageListener) {
         mParts = Checks.notNull("parts", parts);
         mLog = Checks.notNull("log", log);
-        mPageListener = Checks.notNull("onPage", onPage);
+        mPageListener = Checks.notNull("pageListener", pageListener);
     }
 
-    /** Sets the peers that may be asked. */
+    /** Sets the peers that may be queried. */
     void setPeers(List<Address> peers) {
         mPeers.clear();
         mPeers.addAll(peers.subList(0, Math.min(MAX_PEERS, peers.size())));
     }
 
     /**
-     * Notes what a peer knows; cheap, from any thread.
+     * Records the revision of a peer; cheap and thread-safe.
      *
-     * @param isWanted whether any peer is welcome, also one that names nothing newer
+     * @param isWanted whether to record the peer even if it reports nothing newer
      */
     void hint(long revision, Address peer, long nowMillis, boolean isWanted) {
         Hint known = mHint;
@@ -70,11 +70,11 @@
         }
     }
 
-    /** Returns whether a peer has been ahead for longer than a time; it is then waited anew. */
-    boolean consumeDueHint(long patienceMillis, long knownRevision, long nowMillis) {
+    /** Returns whether a peer has been ahead for at least a delay, and restarts the delay if so. */
+    boolean consumeDueHint(long delayMillis, long knownRevision, long nowMillis) {
         Hint hint = mHint;
         boolean lags = hint.revision() > knownRevision;
-        if (!lags || nowMillis - hint.atMillis() < patienceMillis) {
+        if (!lags || nowMillis - hint.atMillis() < delayMillis) {
             return false;
         }
         mHint = new Hint(hint.revision(), hint.peer(), nowMillis);
@@ -82,19 +82,19 @@
     }
 
     private Address randomPeer() {
-        Address hinter = mHint.peer();
-        if (mPeers.isEmpty() || (hinter != null && mParts.random().nextBoolean())) {
-            return hinter;
+        Address hintedPeer = mHint.peer();
+        if (mPeers.isEmpty() || (hintedPeer != null && mParts.random().nextBoolean())) {
+            return hintedPeer;
         }
         return mPeers.get(mParts.random().nextInt(mPeers.size()));
     }
 
-    /** Asks the peer that named the newest change, unless one was asked a moment ago. */
+    /** Queries the peer of the newest hint, unless the query interval has not passed. */
     void queryHintedPeer(long revision, long nowMillis) {
         query(mHint.peer(), revision, nowMillis);
     }
 
-    /** Asks the hinter or any other peer, unless one was asked a moment ago. */
+    /** Queries the peer of the newest hint or another one, unless the interval has not passed. */
     void queryAnyPeer(long revision, long nowMillis) {
         query(randomPeer(), revision, nowMillis);
     }
@@ -104,14 +104,14 @@
             return;
         }
         mNextQueryMillis = nowMillis + QUERY_INTERVAL_MILLIS;
-        long wakes = mPauseCount;
+        long pauseCount = mPauseCount;
         mParts.peers()
                 .apply(peer)
                 .read(revision, 0)
                 .whenCompleteAsync(
                         (page, failure) -> {
                             if (failure == null) {
-                                mPageListener.onPage(page, peer, wakes == mPauseCount);
+                                mPageListener.onPage(page, peer, pauseCount == mPauseCount);
                             } else {
                                 mLog.logPeerFailure(peer, failure.toString());
                             }
@@ -119,7 +119,7 @@
                         mParts.worker());
     }
 
-    /** This process woke from a pause: an answer may have waited here for as long. */
+    /** Called after a pause of this process, during which a pending answer may have waited. */
     void onResumed() {
         mPauseCount++;
     }
--- a/src/main/java/org/apricotgauge/directory/PendingRead.java
+++ b/src/main/java/org/apricotgauge/directory/PendingRead.java
@@ -4,14 +4,14 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * One read at a time of what the platform published, with the time by which it must be answered.
+ * A read of published items with a timeout; at most one is in progress at a time.
  *
  * <pre>{@code
- * watch.begin(source, new PendingRead.Question(revision, waitMillis), dueMillis, end);
+ * watch.start(source, new PendingRead.Query(revision, waitMillis), deadlineMillis, listener);
  * watch.expire(nowMillis);     // every tick
  * }</pre>
  *
- * <p>Not thread-safe: all that hears of a read runs on the worker.
+ * <p>Not thread-safe; all listeners run on the worker.
  */
 final class PendingRead {
     private final Executor mWorker;
@@ -21,63 +21,64 @@
     private long mDeadlineMillis;
     private CompletionListener mCompletionListener;
 
-    /** Hears of every page. */
+    /** Receives every page, also of cancelled and timed out reads. */
     @FunctionalInterface
     interface PageListener {
         /**
-         * Takes a page.
+         * Called with each page.
          *
          * @param page the page
-         * @param inTime whether it answers the present read; one that comes late still brings news,
-         *     but may have waited anywhere for any time
+         * @param isTimely whether it answers the present read; a late page still contains changes,
+         *     but may have been delayed anywhere for any time
          */
-        void onPage(PublishedPage page, boolean inTime);
+        void onPage(PublishedPage page, boolean isTimely);
     }
 
-    /** Hears how a read ended. */
+    /** Receives the end of a read, unless it is cancelled or replaced. */
     interface CompletionListener {
-        /** It was answered. */
+        /** Called after an answer. */
         void answered(PublishedPage page);
 
-        /** It was refused, failed, or was not answered in time. */
+        /** Called after a rejection, a failure or a timeout. */
         void failed(String reason);
     }
 
     /**
-     * What is asked.
+     * The parameters of a read.
      *
      * @param afterRevision revision that the reader has; 0 for none
      * @param waitMillis how long the source may wait for a change; 0 answers at once
      */
     record Query(long afterRevision, long waitMillis) {}
 
-    /** Creates a read that is not under way. */
-    PendingRead(Executor worker, PageListener onPage) {
+    /** Creates an instance without a read in progress. */
+    PendingRead(Executor worker, PageListener pageListener) {
         mWorker = Checks.notNull("worker", worker);
-        mPageListener = Checks.notNull("onPage", onPage);
+        mPageListener = Checks.notNull("pageListener", pageListener);
     }
 
-    /** Returns whether a read has begun that has not ended. */
+    /** Returns whether a read is in progress. */
     boolean isInProgress() {
         return mIsInProgress;
     }
 
-    /** Begins a read; the one before, if it is under way, ends unheard. */
-    void start(PublishedSource source, Query question, long dueMillis, CompletionListener end) {
-        long number = ++mReadNumber;
+    /** Starts a read; one in progress is cancelled without notice to its listener. */
+    void start(
+            PublishedSource source, Query query, long deadlineMillis, CompletionListener listener) {
+        long readNumber = ++mReadNumber;
         mIsInProgress = true;
-        mDeadlineMillis = dueMillis;
-        mCompletionListener = end;
-        source.read(question.afterRevision(), question.waitMillis())
-                .whenCompleteAsync((page, failure) -> complete(number, page, failure), mWorker);
+        mDeadlineMillis = deadlineMillis;
+        mCompletionListener = listener;
+        source.read(query.afterRevision(), query.waitMillis())
+                .whenCompleteAsync((page, failure) -> complete(readNumber, page, failure), mWorker);
     }
 
-    private void complete(long number, PublishedPage page, Throwable failure) {
-        boolean inTime = number == mReadNumber && mIsInProgress;
+    private void complete(long readNumber, PublishedPage page, Throwable failure) {
+        boolean isTimely = readNumber == mReadNumber && mIsInProgress;
         if (failure == null) {
-            mPageListener.onPage(page, inTime);
+            mPageListener.onPage(page, isTimely);
         }
-        if (!inTime) {
+        if (!isTimely) {
             return;
         }
         mIsInProgress = false;
@@ -88,7 +89,7 @@
         }
     }
 
-    /** Ends the read as failed if it is due. */
+    /** Fails the read if it timed out. */
     void expire(long nowMillis) {
         if (mIsInProgress && nowMillis >= mDeadlineMillis) {
             mIsInProgress = false;
@@ -96,7 +97,7 @@
         }
     }
 
-    /** Gives the read up; nobody hears of its end. */
+    /** Cancels the read without notice to its listener. */
     void cancel() {
         mIsInProgress = false;
     }
--- a/src/main/java/org/apricotgauge/directory/PlatformLink.java
+++ b/src/main/java/org/apricotgauge/directory/PlatformLink.java
@@ -3,9 +3,9 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * What a node knows of the platform's answering it, and the question that confirms its view.
+ * Tracks whether the platform answers this node, and queries it to confirm the node's view.
  *
- * <p>Not thread-safe, but for {@link #isUnavailable}.
+ * <p>Not thread-safe, except {@link #isUnavailable}.
  */
 final class PlatformLink {
     private static final long NOT_QUERIED = Long.MAX_VALUE;
@@ -21,14 +21,15 @@
     /**
      * Creates a link that is not lost.
      *
-     * @param parts what the feed works with
-     * @param log takes when the platform is lost and regained
-     * @param onPage takes what the platform answers to the question
+     * @param parts dependencies of the feed
+     * @param log logs when the platform is lost and regained
+     * @param pageListener receives the pages that answer the query
      */
-    PlatformLink(DirectoryFeed.Parts parts, DirectoryLog log, PendingRead.PageListener onPage) {
+    PlatformLink(
+            DirectoryFeed.Parts parts, DirectoryLog log, PendingRead.PageListener pageListener) {
         mParts = Checks.notNull("parts", parts);
         mLog = Checks.notNull("log", log);
-        mQuery = new PendingRead(parts.worker(), onPage);
+        mQuery = new PendingRead(parts.worker(), pageListener);
         mRetryBackoff = new RetryBackoff(parts.random());
     }
 
@@ -37,22 +38,22 @@
         return mIsLost;
     }
 
-    /** Returns whether the last call failed, or the question is unanswered for too long. */
+    /** Returns whether the last call failed, or the pending query is unanswered for too long. */
     boolean isUnavailable() {
-        long askedMillis = mQueriedAtMillis;
+        long queriedAtMillis = mQueriedAtMillis;
         return mIsLost
-                || (askedMillis != NOT_QUERIED
-                        && mParts.ticker().millis() - askedMillis
+                || (queriedAtMillis != NOT_QUERIED
+                        && mParts.ticker().millis() - queriedAtMillis
                                 >= mParts.times().platformTimeoutMillis());
     }
 
-    /** Returns when a lost platform is to be tried again. */
+    /** Returns when to retry a lost platform. */
     long nextRetryMillis() {
         return mNextRetryMillis;
     }
 
-    /** Asks what changed after a revision; returns false if such a question is under way. */
-    boolean query(long revision, long nowMillis, PendingRead.CompletionListener end) {
+    /** Requests the changes after a revision; returns false if a query is already pending. */
+    boolean query(long revision, long nowMillis, PendingRead.CompletionListener listener) {
         if (mQuery.isInProgress()) {
             return false;
         }
@@ -61,11 +62,11 @@
                 mParts.platform(),
                 new PendingRead.Query(revision, 0),
                 nowMillis + DirectoryFeed.ANSWER_TIMEOUT_MILLIS,
-                end);
+                listener);
         return true;
     }
 
-    /** Notes an answer, or that others have one. */
+    /** Records an answer to this node or to another. */
     void recordAnswer(long revision) {
         mQueriedAtMillis = NOT_QUERIED;
         mRetryBackoff.reset();
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Notes a call that failed. */
+    /** Records a failed call. */
     void recordFailure(String reason, long revision, ReaderTree tree, long nowMillis) {
         mQueriedAtMillis = NOT_QUERIED;
         mNextRetryMillis = nowMillis + mRetryBackoff.nextMillis(tree);
@@ -85,12 +86,12 @@
         }
     }
 
-    /** Ends a question that is due. */
+    /** Ends a query that timed out. */
     void expire(long nowMillis) {
         mQuery.expire(nowMillis);
     }
 
-    /** Gives a question up. */
+    /** Cancels the pending query. */
     void cancel() {
         mQueriedAtMillis = NOT_QUERIED;
         mQuery.cancel();
--- a/src/main/java/org/apricotgauge/directory/PublishedConfiguration.java
+++ b/src/main/java/org/apricotgauge/directory/PublishedConfiguration.java
@@ -6,14 +6,14 @@
 import org.apricotgauge.model.Route;
 
 /**
- * A version of the configuration as it is published whole.
+ * A complete published version of the configuration.
  *
- * @param version its number; versions rise, not always by one
- * @param baseVersion the version that the operator's patch was made against
+ * @param version version number; increases, not always by one
+ * @param baseVersion version that the operator's patch was based on
  * @param services names of the services
  * @param routes all routes
  * @param members all members that have keys
- * @param idleMillis how long a caller's connection may stay unused, in milliseconds
+ * @param idleMillis idle timeout of callers' connections, in milliseconds
  */
 public record PublishedConfiguration(
         long version,
@@ -23,7 +23,7 @@
         List<Member> members,
         long idleMillis) {
 
-    /** Checks the parts and copies the lists. */
+    /** Validates the components and copies the lists. */
     public PublishedConfiguration {
         Checks.inRange("configuration.version", version, 1, Long.MAX_VALUE);
         Checks.inRange("configuration.baseVersion", baseVersion, 0, Long.MAX_VALUE);
--- a/src/main/java/org/apricotgauge/directory/PublishedItem.java
+++ b/src/main/java/org/apricotgauge/directory/PublishedItem.java
@@ -3,23 +3,23 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * One key of the platform as it was last written, or the mark that it was removed.
+ * The last written value of a key of the platform, or the tombstone of a removed key.
  *
  * @param key name of the item
- * @param value its bytes; empty if it was removed
- * @param revision the platform's revision of this writing, rising over all keys
- * @param removed whether the key is gone
+ * @param value value of the item; empty if it was removed
+ * @param revision the platform's revision of this write, increasing across all keys
+ * @param removed whether the key was removed
  */
 public record PublishedItem(String key, byte[] value, long revision, boolean removed) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public PublishedItem {
         Checks.notBlank("item.key", key);
         Checks.notNull("item.value", value);
         Checks.inRange("item.revision", revision, 0, Long.MAX_VALUE);
     }
 
-    /** Returns the mark that a key is gone. */
+    /** Returns the tombstone of a removed key. */
     public static PublishedItem removed(String key, long revision) {
         return new PublishedItem(key, new byte[0], revision, true);
     }
--- a/src/main/java/org/apricotgauge/directory/PublishedSource.java
+++ b/src/main/java/org/apricotgauge/directory/PublishedSource.java
@@ -3,22 +3,22 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Somebody who can tell what the platform published: the platform itself, or another node.
+ * A source of the items that the platform publishes: the platform itself, or another node.
  *
  * <pre>{@code
- * source.read(items.revision(), 10_000).thenAccept(feed::take);
+ * source.read(items.revision(), 10_000).thenAccept(this::applyPage);
  * }</pre>
  */
 @FunctionalInterface
 public interface PublishedSource {
 
     /**
-     * Reads what changed after a revision; everything for revision 0, or if the changes since are
-     * no longer known to the source.
+     * Reads the items that changed after a revision; all items for revision 0, or if the source no
+     * longer has the changes since.
      *
      * @param afterRevision revision that the reader has; 0 for none
-     * @param waitMillis answer at the first change, or after this time; 0 answers at once
-     * @return the page; fails if the source is not reached or refuses
+     * @param waitMillis maximum wait for a change, in milliseconds; 0 answers at once
+     * @return the page; fails if the source is unreachable or refuses
      */
     CompletableFuture<PublishedPage> read(long afterRevision, long waitMillis);
 }
--- a/src/main/java/org/apricotgauge/directory/ReaderTree.java
+++ b/src/main/java/org/apricotgauge/directory/ReaderTree.java
@@ -13,7 +13,7 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Tells each node whom it reads the site from: one node of each failure domain reads the platform,
+ * Decides where each node reads the site from: one node of each failure domain reads the platform,
  * the others read from one another, in a tree.
  *
  * <pre>{@code
@@ -21,19 +21,19 @@
  * Optional<Address> parent = tree.parent(suspects::contains);   // empty: read the platform
  * }</pre>
  *
- * <p>Every node works it out alone, by rendezvous hashing over the nodes that it knows; no message
- * is needed. Nodes that know different members, or suspect different ones, may for a moment have no
- * reader or two of them; that costs calls and never truth, since each node bounds the age of its
- * own view and reads the platform itself before the bound is reached.
+ * <p>Every node computes the tree alone, by rendezvous hashing over the nodes that it knows; no
+ * message is needed. Nodes that know or suspect different nodes may briefly have no reader or two
+ * readers of the platform. That costs calls but not correctness, since each node limits the age of
+ * its own view and reads the platform itself before the limit is reached.
  */
 public final class ReaderTree {
     /**
-     * How many nodes read from one at the most. It bounds what a parent answers; a failure domain
-     * of 600 nodes is then three steps deep, and a step takes a few milliseconds.
+     * Maximum number of nodes that read from one. It limits the load of a parent; a failure domain
+     * of 600 nodes is then three levels deep, and a level takes a few milliseconds.
      */
     static final int FAN_OUT = 12;
 
-    /** How many nodes of a failure domain are tried first while the platform is away. */
+    /** Number of nodes of a failure domain that probe an unavailable platform most often. */
     private static final int PROBING_NODES = 2;
 
     private final Node mSelf;
@@ -44,11 +44,11 @@
     /**
      * A node of the site.
      *
-     * @param guard where other nodes reach it
-     * @param failureDomain failure domain that it stands in
+     * @param guard address of its guard
+     * @param failureDomain its failure domain
      */
     public record Node(Address guard, String failureDomain) {
-        /** Checks the parts. */
+        /** Validates the components. */
         public Node {
             Checks.notNull("node.guard", guard);
             Checks.notNull("node.failureDomain", failureDomain);
@@ -58,8 +58,8 @@
     /**
      * Creates the tree of a node's failure domain.
      *
-     * @param self the node that asks
-     * @param nodes the nodes of the site; may lack the node itself
+     * @param self this node
+     * @param nodes the nodes of the site, with or without this node
      */
     public ReaderTree(Node self, Collection<Node> nodes) {
         mSelf = Checks.notNull("self", self);
@@ -72,43 +72,44 @@
     }
 
     private static List<Address> orderOf(String failureDomain, Collection<Node> nodes) {
-        List<Address> inside = new ArrayList<>();
+        List<Address> guards = new ArrayList<>();
         for (Node node : nodes) {
             if (node.failureDomain().equals(failureDomain)) {
-                inside.add(node.guard());
+                guards.add(node.guard());
             }
         }
-        return RendezvousOrder.of(failureDomain, inside, Address::toString);
+        return RendezvousOrder.of(failureDomain, guards, Address::toString);
     }
 
-    /** Returns the tree of a node that knows no other. */
+    /** Returns the tree of a node that knows no other node. */
     static ReaderTree ofSingleNode() {
         return new ReaderTree(new Node(new Address("0.0.0.0", 1), ""), List.of());
     }
 
     /**
-     * Returns the node to read from; empty if this node is to read the platform.
+     * Returns the node to read from; empty if this node reads the platform.
      *
-     * @param isSuspect tells of nodes that do not answer or that know too little
+     * @param isSuspect whether a node does not answer, or its view is too stale
      */
     public Optional<Address> parent(Predicate<Address> isSuspect) {
         List<Address> trusted =
                 mOrder.stream()
                         .filter(node -> node.equals(mSelf.guard()) || !isSuspect.test(node))
                         .toList();
-        int place = trusted.indexOf(mSelf.guard());
-        // A node that is not registered is nobody's parent, and stands behind all others.
-        int rank = place < 0 ? trusted.size() : place;
+        int index = trusted.indexOf(mSelf.guard());
+        // An unregistered node ranks last and is no parent.
+        int rank = index < 0 ? trusted.size() : index;
         return rank == 0 ? Optional.empty() : Optional.of(trusted.get((rank - 1) / FAN_OUT));
     }
 
     /**
-     * Returns whom a node that reads the platform asks whether its view still holds, before it asks
-     * the platform: the reader of one failure domain, the same for all. Empty for that one itself.
+     * Returns the node that a reader of the platform queries to confirm its view before it queries
+     * the platform: the reader of one failure domain, the same for all. Empty for that reader
+     * itself.
      *
-     * <p>The platform is then asked once for the whole site, not once for each failure domain.
+     * <p>The platform is then queried once for the whole site, not once per failure domain.
      *
-     * @param isSuspect tells of nodes that do not answer or that know too little
+     * @param isSuspect whether a node does not answer, or its view is too stale
      */
     public Optional<Address> confirmer(Predicate<Address> isSuspect) {
         return mFirstDomainOrder.stream()
@@ -117,13 +118,13 @@
                 .filter(node -> !node.equals(mSelf.guard()));
     }
 
-    /** Returns whether this node is among the first that look whether the platform is back. */
+    /** Returns whether this node is among those that probe an unavailable platform most often. */
     public boolean probesPlatform() {
         return mOrder.size() < PROBING_NODES
                 || mOrder.subList(0, PROBING_NODES).contains(mSelf.guard());
     }
 
-    /** Returns how many nodes the site has. */
+    /** Returns the number of nodes of the site. */
     public int nodeCount() {
         return mNodeCount;
     }
--- a/src/main/java/org/apricotgauge/directory/Registration.java
+++ b/src/main/java/org/apricotgauge/directory/Registration.java
@@ -4,22 +4,22 @@
 import org.apricotgauge.model.Target;
 
 /**
- * A target as it registered itself with the platform.
+ * The registration of a target at the platform.
  *
- * @param name what it is registered under; a target that starts again may keep it
- * @param target this run of the target, with an id of its own
- * @param leaving whether it said that it leaves
- * @param sequence how often this run of the target had written
- * @param coldRemainingMillis how much longer it was slow after its start, when it wrote, in
+ * @param name name of the registration; a target may keep it across restarts
+ * @param target this process of the target, with its own id
+ * @param leaving whether the target announced that it is leaving
+ * @param sequence number of writes by this process of the target
+ * @param coldRemainingMillis remaining duration of the cold start at the time of the write, in
  *     milliseconds
  */
 public record Registration(
         String name, Target target, boolean leaving, long sequence, long coldRemainingMillis) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Registration {
         Checks.notBlank("registration.name", name);
         Checks.notNull("registration.target", target);
-        Checks.inRange("registration.coldMillis", coldRemainingMillis, 0, Long.MAX_VALUE);
+        Checks.inRange("registration.coldRemainingMillis", coldRemainingMillis, 0, Long.MAX_VALUE);
     }
 }
--- a/src/main/java/org/apricotgauge/directory/RetryBackoff.java
+++ b/src/main/java/org/apricotgauge/directory/RetryBackoff.java
@@ -4,21 +4,21 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Pauses between two tries at a platform that does not answer.
+ * Computes the delay between two attempts to reach a platform that does not answer.
  *
- * <p>The nodes that read for their failure domain go on trying at a steady pace, so that the
- * platform's return is seen soon whatever the length of its absence. All others wait the longer the
- * more nodes there are: tried by each node at that pace, a platform that is overloaded would be
- * kept so by the fleet.
+ * <p>The nodes that read for their failure domain retry at a fixed rate, so that they detect the
+ * platform's recovery soon however long the outage was. The delay of all others grows with the
+ * number of nodes: retries of every node at the fixed rate would keep an overloaded platform
+ * overloaded.
  */
 final class RetryBackoff {
-    /** The first pause, in milliseconds. */
+    /** The first delay, in milliseconds. */
     static final long INITIAL_MILLIS = 300;
 
-    /** The longest pause of a node that reads for others, in milliseconds. */
+    /** The longest delay of a node that reads for others, in milliseconds. */
     static final long MAX_MILLIS = 600;
 
-    /** What each node of the site adds to the pause of one that reads for none, in milliseconds. */
+    /** Mean delay added per node of the site, for a node that reads for no others, in ms. */
     static final long MILLIS_PER_NODE = 25;
 
     private final RandomGenerator mRandom;
@@ -28,12 +28,12 @@
         mRandom = Checks.notNull("random", random);
     }
 
-    /** Begins anew: the platform answered. */
+    /** Restarts with the first delay; called when the platform answered. */
     void reset() {
         mDelayMillis = 0;
     }
 
-    /** Returns the next pause, in milliseconds. */
+    /** Returns the next delay, in milliseconds. */
     long nextMillis(ReaderTree tree) {
         if (!tree.probesPlatform()) {
             long meanMillis = tree.nodeCount() * MILLIS_PER_NODE;
--- a/src/main/java/org/apricotgauge/directory/SiteChange.java
+++ b/src/main/java/org/apricotgauge/directory/SiteChange.java
@@ -1,6 +1,6 @@
 package org.apricotgauge.directory;
 
-/** What one published item means. */
+/** The decoded content of a published item. */
 public sealed interface SiteChange {
 
     /** A version of the configuration. */
@@ -9,18 +9,19 @@
     /** A target wrote its registration. */
     record Registered(Registration registration) implements SiteChange {}
 
-    /** A target's registration is gone: it has left, or was silent for too long. */
+    /** A target's registration was removed: the target left, or its heartbeats were missing. */
     record Unregistered(String name) implements SiteChange {}
 
     /**
-     * Somebody else wrote over a registration, or wrote one that names no target. Whatever was
-     * registered there gets no new work: where it now serves, and whether it does, nobody says.
+     * A registration that names no valid target, for example because another writer overwrote it.
+     * The target that was registered there receives no new work, since its present address is
+     * unknown and it may no longer serve.
      */
     record InvalidRegistration(String name, String reason) implements SiteChange {}
 
-    /** Of no interest to the fleet. */
+    /** An item that the fleet does not use. */
     record Ignored(String key) implements SiteChange {}
 
-    /** The item cannot be read; what was known before stays in force. */
+    /** An item that cannot be decoded; its previous content stays in force. */
     record Unreadable(String key, String reason) implements SiteChange {}
 }
--- a/src/main/java/org/apricotgauge/directory/SiteDecoder.java
+++ b/src/main/java/org/apricotgauge/directory/SiteDecoder.java
@@ -1,9 +1,9 @@
 package org.apricotgauge.directory;
 
-/** Reads the platform's items; implemented where the platform's names are known. */
+/** Decodes published items; implemented for each kind of platform. */
 @FunctionalInterface
 public interface SiteDecoder {
 
-    /** Returns what an item means. */
+    /** Returns the content of an item. */
     SiteChange decode(PublishedItem item);
 }
--- a/src/main/java/org/apricotgauge/directory/SiteDirectory.java
+++ b/src/main/java/org/apricotgauge/directory/SiteDirectory.java
@@ -15,28 +15,28 @@
 import org.apricotgauge.model.Target;
 
 /**
- * The site as published items make it: the configuration in force and the targets.
+ * The configuration in force and the targets of a site, as given by the published items.
  *
  * <pre>{@code
- * boolean changed = directory.take(change, nowMillis, keepUntilMillis);
+ * boolean changed = directory.apply(change, nowMillis, retainUntilMillis);
  * changed |= directory.expire(nowMillis);
  * }</pre>
  *
- * <p>Versions never fall. A run that starts under the name of an earlier one takes its place: what
- * was known of that one is not true of it. A target that says it leaves gets no new work at once.
- * One whose registration ends without a word may have crashed, or have only lost the platform while
- * it serves on; it keeps its place until the time that the caller gives, in which a living target
- * registers anew. Not thread-safe.
+ * <p>Versions never decrease. A process of a target that registers under the name of an earlier one
+ * replaces it, and inherits none of its state. A target that announces that it is leaving receives
+ * no new work from then on. One whose registration ends without a leaving notice may have crashed,
+ * or may still serve and have lost only the platform; it is retained until a time given by the
+ * caller, within which a live target registers again. Not thread-safe.
  */
 public final class SiteDirectory {
-    /** A registration, and which run registered after which. */
+    /** A registration, with the order in which the target's process first registered. */
     private record Entry(Registration registration, long order) {
         static Entry newer(Entry one, Entry other) {
             return one.order() > other.order() ? one : other;
         }
     }
 
-    /** Most ended registrations that are remembered; the earliest is forgotten first. */
+    /** Maximum number of ended registrations kept; the earliest is evicted first. */
     private static final int MAX_ENDED = 1_024;
 
     private final Map<String, Entry> mRegistrations = new TreeMap<>();
@@ -52,25 +52,25 @@
     private final Consumer<TargetChange> mOnTargetChange;
     private PublishedConfiguration mConfiguration;
 
-    /** Creates a directory of which nobody hears. */
+    /** Creates a directory without a listener. */
     public SiteDirectory() {
         this(change -> {});
     }
 
-    /** Creates a directory that tells each step in what is believed of a target. */
-    SiteDirectory(Consumer<TargetChange> onTarget) {
-        mOnTargetChange = Checks.notNull("onTarget", onTarget);
+    /** Creates a directory that reports each change of a target's state. */
+    SiteDirectory(Consumer<TargetChange> onTargetChange) {
+        mOnTargetChange = Checks.notNull("onTargetChange", onTargetChange);
     }
 
     /**
-     * Takes in a change; returns whether anything that requests depend on is different.
+     * Applies a change; returns whether anything that requests depend on changed.
      *
      * @param change the change
      * @param nowMillis present time
-     * @param keepUntilMillis until when a target keeps its place if its registration has ended
-     *     without a word
+     * @param retainUntilMillis until when a target is retained if its registration has ended
+     *     without a leaving notice
      */
-    public boolean apply(SiteChange change, long nowMillis, long keepUntilMillis) {
+    public boolean apply(SiteChange change, long nowMillis, long retainUntilMillis) {
         if (change instanceof SiteChange.Configured configured) {
             return configure(configured.configuration());
         }
@@ -78,10 +78,10 @@
             return register(registered.registration());
         }
         if (change instanceof SiteChange.Unregistered unregistered) {
-            return unregister(unregistered.name(), nowMillis, keepUntilMillis);
+            return unregister(unregistered.name(), nowMillis, retainUntilMillis);
         }
-        if (change instanceof SiteChange.InvalidRegistration unusable) {
-            return remove(unusable.name());
+        if (change instanceof SiteChange.InvalidRegistration invalid) {
+            return remove(invalid.name());
         }
         return false;
     }
@@ -123,11 +123,11 @@
             return false;
         }
         Presence before = presenceOf(registration.name());
-        boolean back = mRetainedUntilMillis.remove(registration.name()) != null;
+        boolean wasRetained = mRetainedUntilMillis.remove(registration.name()) != null;
         Entry known = mRegistrations.get(registration.name());
         if (known != null && known.registration().equals(registration)) {
             reportChange(known, before, presenceOf(registration.name()));
-            return back;
+            return wasRetained;
         }
         boolean sameRun =
                 known != null && known.registration().target().equals(registration.target());
@@ -138,16 +138,16 @@
         return true;
     }
 
-    // A write that was delayed on its way would undo that the target leaves or has left.
+    // A delayed older write must not undo that the target is leaving or has left.
     private boolean isDelayedWrite(Registration registration) {
         Entry entry = mRegistrations.get(registration.name());
         if (entry == null) {
             return isOlder(registration, mEnded.get(registration.name()));
         }
-        boolean isGoing =
+        boolean isEnding =
                 entry.registration().leaving()
                         || mRetainedUntilMillis.containsKey(registration.name());
-        return isGoing && isOlder(registration, entry.registration());
+        return isEnding && isOlder(registration, entry.registration());
     }
 
     private static boolean isOlder(Registration registration, Registration known) {
@@ -164,21 +164,21 @@
         return true;
     }
 
-    private boolean unregister(String name, long nowMillis, long keepUntilMillis) {
+    private boolean unregister(String name, long nowMillis, long retainUntilMillis) {
         Entry entry = mRegistrations.get(name);
         if (entry == null) {
             return false;
         }
-        if (entry.registration().leaving() || keepUntilMillis <= nowMillis) {
+        if (entry.registration().leaving() || retainUntilMillis <= nowMillis) {
             return remove(name);
         }
         Presence before = presenceOf(name);
-        mRetainedUntilMillis.putIfAbsent(name, keepUntilMillis);
+        mRetainedUntilMillis.putIfAbsent(name, retainUntilMillis);
         reportChange(entry, before, Presence.ENDED);
         return false;
     }
 
-    /** Removes targets that did not register anew in time; returns whether there were any. */
+    /** Removes targets that did not register again in time; returns whether there were any. */
     public boolean expire(long nowMillis) {
         Set<String> due = new HashSet<>();
         mRetainedUntilMillis.forEach(
@@ -191,19 +191,19 @@
         return !due.isEmpty();
     }
 
-    /** Returns the configuration in force, or null before the first. */
+    /** Returns the configuration in force; null before the first. */
     public PublishedConfiguration configuration() {
         return mConfiguration;
     }
 
     /**
-     * Returns the targets of services that the configuration names, leaving ones included, in the
-     * order of their registered names; none before the first configuration.
+     * Returns the targets of configured services, including leaving ones, in the order of their
+     * registration names; none before the first configuration.
      *
-     * <p>Two targets never share an address. After a loss of power the entry of the run before
-     * stays for some seconds, and requests sent to it would only be refused by the new one; so the
-     * newest at an address is the only one. An entry of a service that nobody named takes no
-     * address from a target that serves.
+     * <p>Only the newest target at an address is returned. After a power loss the registration of
+     * the earlier process remains for some seconds, and requests for it would only be refused by
+     * the new process. A registration for an unknown service does not replace a serving target at
+     * its address.
      */
     public List<Registration> registrations() {
         if (mConfiguration == null) {
--- a/src/main/java/org/apricotgauge/directory/SiteState.java
+++ b/src/main/java/org/apricotgauge/directory/SiteState.java
@@ -5,9 +5,9 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Folds published pages into the items and the site that a node knows, and logs each step.
+ * Applies published pages to a node's items and site, and logs each change.
  *
- * <p>The items may be read from any thread; all else happens on the worker.
+ * <p>The items may be read from any thread; everything else runs on the worker.
  */
 final class SiteState {
     private final SiteDecoder mDecoder;
@@ -20,12 +20,12 @@
     private record DecodedChange(SiteChange change, long revision) {}
 
     /**
-     * Where a page comes from, and what is known of the time since the page before.
+     * The source of a page, and the age of the view before it.
      *
-     * @param source the platform, or the node that told it
+     * @param source the platform, or the node that sent it
      * @param viewAgeMillis time since the last confirmation before it
-     * @param retentionMillis how long a target keeps its place whose registration ends without a
-     *     word
+     * @param retentionMillis how long to retain a target whose registration ends without a leaving
+     *     notice
      */
     record PageOrigin(String source, long viewAgeMillis, long retentionMillis) {}
 
@@ -34,22 +34,22 @@
         mLog = Checks.notNull("log", log);
     }
 
-    /** Returns the items as known now. */
+    /** Returns the current items. */
     ItemTable items() {
         return mItems.get();
     }
 
-    /** Returns the site as the items make it. */
+    /** Returns the site as given by the items. */
     SiteDirectory directory() {
         return mDirectory;
     }
 
-    /** A start reads every target of the site as new; only after it are new ones logged. */
+    /** Enables logging of new targets, which is off at startup, when every target is new. */
     void enableNewTargetLogging() {
         mLogsNewTargets = true;
     }
 
-    /** Takes a page in; returns whether anything that requests depend on is different. */
+    /** Applies a page; returns whether anything that requests depend on changed. */
     boolean apply(PublishedPage page, PageOrigin origin, long nowMillis) {
         ItemTable before = mItems.get();
         ItemTable after = before.with(page);
--- a/src/main/java/org/apricotgauge/directory/SiteWatch.java
+++ b/src/main/java/org/apricotgauge/directory/SiteWatch.java
@@ -4,7 +4,7 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * The read that waits for changes of the site, one after the other.
+ * Runs the reads that wait for changes of the site, one at a time.
  *
  * <p>Not thread-safe.
  */
@@ -14,57 +14,57 @@
     private boolean mWaitsForChange;
     private long mNextStartMillis;
 
-    SiteWatch(DirectoryFeed.Parts parts, PendingRead.PageListener onPage) {
+    SiteWatch(DirectoryFeed.Parts parts, PendingRead.PageListener pageListener) {
         mParts = Checks.notNull("parts", parts);
-        mRead = new PendingRead(parts.worker(), onPage);
+        mRead = new PendingRead(parts.worker(), pageListener);
         mNextStartMillis = Long.MIN_VALUE;
     }
 
-    /** Returns whether a read is to begin. */
+    /** Returns whether to start a read. */
     boolean isDue(long nowMillis) {
         return !mRead.isInProgress() && nowMillis >= mNextStartMillis;
     }
 
-    /** Returns whether a read is under way. */
+    /** Returns whether a read is in progress. */
     boolean isInProgress() {
         return mRead.isInProgress();
     }
 
-    /** Returns whether a read is under way that waits for a change. */
+    /** Returns whether a read that waits for a change is in progress. */
     boolean isWaiting() {
         return mRead.isInProgress() && mWaitsForChange;
     }
 
     /**
-     * Begins a read, in place of one that is under way.
+     * Starts a read, and replaces one in progress.
      *
      * @param node the node to read from; null for the platform
-     * @param afterRevision revision that is known
-     * @param waitMillis how long to wait for a change; 0 asks at once
+     * @param afterRevision revision that this node has
+     * @param waitMillis how long to wait for a change; 0 to be answered at once
      * @param nowMillis present time
-     * @param end hears how it ended
+     * @param listener notified of its end
      */
     void start(
             Address node,
             long afterRevision,
             long waitMillis,
             long nowMillis,
-            PendingRead.CompletionListener end) {
+            PendingRead.CompletionListener listener) {
         mWaitsForChange = waitMillis > 0;
         mRead.start(
                 node == null ? mParts.platform() : mParts.peers().apply(node),
                 new PendingRead.Query(afterRevision, waitMillis),
                 nowMillis + waitMillis + DirectoryFeed.ANSWER_TIMEOUT_MILLIS,
-                end);
+                listener);
     }
 
-    /** Gives up a read that is under way; the next begins after a pause, in milliseconds. */
+    /** Cancels a read in progress; the next may start after a pause, in milliseconds. */
     void pause(long pauseMillis) {
         mRead.cancel();
         mNextStartMillis = mParts.ticker().millis() + pauseMillis;
     }
 
-    /** Ends a read that is due. */
+    /** Ends a read that timed out. */
     void expire(long nowMillis) {
         mRead.expire(nowMillis);
     }
--- a/src/main/java/org/apricotgauge/directory/TargetChange.java
+++ b/src/main/java/org/apricotgauge/directory/TargetChange.java
@@ -1,25 +1,25 @@
 package org.apricotgauge.directory;
 
 /**
- * A step in what a node believes of a target, as it is logged.
+ * A change of a target's state as known to a node, as it is logged.
  *
- * @param name what the target is registered under
- * @param target id of its run
- * @param from what was believed before
- * @param to what is believed now
- * @param sequence how often the run had written by its last registration
+ * @param name name of the registration
+ * @param target id of the target's process
+ * @param from state before
+ * @param to state after
+ * @param sequence number of writes by the process up to its last registration
  */
 record TargetChange(String name, String target, Presence from, Presence to, long sequence) {
 
-    /** What is believed of a target. */
+    /** The state of a target. */
     enum Presence {
-        /** It was never heard of, or is gone. */
+        /** The target is unknown, or was removed. */
         ABSENT,
-        /** It is registered, and takes work. */
+        /** The target is registered and accepts work. */
         READY,
-        /** It said that it leaves. */
+        /** The target announced that it is leaving. */
         LEAVING,
-        /** Its registration ended without a word; it may still come back. */
+        /** The registration ended without a leaving notice; the target may register again. */
         ENDED
     }
 }
--- a/src/main/java/org/apricotgauge/directory/ValueCompressor.java
+++ b/src/main/java/org/apricotgauge/directory/ValueCompressor.java
@@ -7,16 +7,16 @@
 import java.util.zip.Inflater;
 
 /**
- * Compresses large values for the way between two nodes.
+ * Compresses large values for transfer between nodes.
  *
- * <p>The configuration is the one large value, and goes to many readers; so the last one packed or
- * unpacked is kept in both forms, and a node that passes it on compresses nothing. Thread-safe.
+ * <p>The configuration is the only large value, and is sent to many readers; so the last value is
+ * cached in both forms, and a node that forwards it does not compress it again. Thread-safe.
  */
 final class ValueCompressor {
-    /** Smaller values are not worth the work. */
+    /** Smaller values are not worth compressing. */
     static final int MIN_BYTES = 1_024;
 
-    /** No value of the platform is as large. */
+    /** Limit of an uncompressed value; all values of the platform are smaller. */
     private static final int MAX_PLAIN_BYTES = 8 << 20;
 
     private static final int BUFFER_BYTES = 4_096;
@@ -31,9 +31,9 @@
         if (last.plain() == plain) {
             return last.compressed();
         }
-        byte[] packed = deflate(plain);
-        mLast = new CachedValue(plain, packed);
-        return packed;
+        byte[] compressed = deflate(plain);
+        mLast = new CachedValue(plain, compressed);
+        return compressed;
     }
 
     private static byte[] deflate(byte[] plain) {
@@ -53,32 +53,32 @@
     }
 
     /**
-     * Returns the value of a compressed form.
+     * Returns the uncompressed value.
      *
-     * @param plainBytes length of the value
-     * @throws IOException if it is not the form of a value of that length
+     * @param plainBytes length of the uncompressed value
+     * @throws IOException if the bytes are not the compressed form of a value of that length
      */
-    byte[] decompress(byte[] packed, int plainBytes) throws IOException {
+    byte[] decompress(byte[] compressed, int plainBytes) throws IOException {
         if (plainBytes < 0 || plainBytes > MAX_PLAIN_BYTES) {
             throw new IOException("value of " + plainBytes + " bytes is too large");
         }
-        byte[] plain = inflate(packed, plainBytes);
-        mLast = new CachedValue(plain, packed);
+        byte[] plain = inflate(compressed, plainBytes);
+        mLast = new CachedValue(plain, compressed);
         return plain;
     }
 
-    private static byte[] inflate(byte[] packed, int plainBytes) throws IOException {
+    private static byte[] inflate(byte[] compressed, int plainBytes) throws IOException {
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(packed);
+            inflater.setInput(compressed);
             byte[] plain = new byte[plainBytes];
             int length = inflater.inflate(plain);
             if (length != plainBytes || inflater.inflate(new byte[1]) != 0) {
-                throw new IOException("compressed value is not of " + plainBytes + " bytes");
+                throw new IOException("decompressed value is not of " + plainBytes + " bytes");
             }
             return plain;
         } catch (DataFormatException e) {
-            throw new IOException("compressed value can't be read", e);
+            throw new IOException("cannot decompress value", e);
         } finally {
             inflater.end();
         }
--- a/src/main/java/org/apricotgauge/directory/ViewAgeTracker.java
+++ b/src/main/java/org/apricotgauge/directory/ViewAgeTracker.java
@@ -4,27 +4,28 @@
 import org.apricotgauge.time.SuspendAwareClock;
 
 /**
- * How old a node's view of the site is, and whether the node has heard anything since it last woke.
+ * Tracks the age of a node's view of the site, and whether it was confirmed since the last pause.
  *
- * <p>Kept by a clock that counts suspensions too. Thread-safe, but for what ticks and reads do.
+ * <p>Ages are measured by a clock that includes suspensions. Thread-safe, except the methods called
+ * on ticks and reads.
  */
 final class ViewAgeTracker {
     /** A longer gap between two ticks counts as a pause of the process. */
     private static final long PAUSE_THRESHOLD_MILLIS = 1_500;
 
-    /** After a pause a node waits so long for somebody to confirm what it knows. */
+    /** How long a node waits after a pause for a confirmation of its view. */
     private static final long CONFIRMATION_TIMEOUT_MILLIS = 1_000;
 
     private final DirectoryFeed.Parts mParts;
-    private final SuspendAwareClock mElapsed;
+    private final SuspendAwareClock mClock;
     private final ConfirmationTracker mConfirmations;
     private final StalenessGate mStalenessGate;
     private volatile boolean mWasRead;
 
-    ViewAgeTracker(DirectoryFeed.Parts parts, SuspendAwareClock elapsed) {
+    ViewAgeTracker(DirectoryFeed.Parts parts, SuspendAwareClock clock) {
         mParts = parts;
-        mElapsed = elapsed;
-        mConfirmations = new ConfirmationTracker(parts.times(), elapsed.millis());
+        mClock = clock;
+        mConfirmations = new ConfirmationTracker(parts.times(), clock.millis());
         mStalenessGate =
                 new StalenessGate(
                         PAUSE_THRESHOLD_MILLIS,
@@ -33,62 +34,62 @@
                         parts.wallMillis().getAsLong());
     }
 
-    /** Returns the present time, by the clock that ages are kept by. */
+    /** Returns the present time of the clock by which ages are measured. */
     long elapsedMillis() {
-        return mElapsed.millis();
+        return mClock.millis();
     }
 
     /** Returns the time since the last confirmation, in milliseconds. */
     long ageMillis() {
-        return mConfirmations.ageMillis(mElapsed.millis());
+        return mConfirmations.ageMillis(mClock.millis());
     }
 
-    /** Returns the time since the last confirmation that this node read, in milliseconds. */
+    /** Returns the age to report to other nodes: since the last read, in milliseconds. */
     long reportedMillis() {
-        return mConfirmations.reportedAgeMillis(mElapsed.millis());
+        return mConfirmations.reportedAgeMillis(mClock.millis());
     }
 
-    /** Returns how long a target keeps its place whose registration is now found to have ended. */
+    /** Returns how long to retain a target whose registration is now found to have ended. */
     long retentionMillis() {
-        long nowMillis = mElapsed.millis();
+        long nowMillis = mClock.millis();
         return mConfirmations.retainUntilMillis(nowMillis) - nowMillis;
     }
 
-    /** Returns whether anything was ever read that tells its age. */
+    /** Returns whether a page of known age was ever read. */
     boolean wasRead() {
         return mWasRead;
     }
 
-    /** Returns whether the node has heard something since its last pause, or waited for long. */
+    /** Returns whether the view was confirmed since the last pause, or the wait timed out. */
     boolean mayAct() {
         return mStalenessGate.mayAct(mParts.ticker().millis(), mParts.wallMillis().getAsLong());
     }
 
-    /** Notes that the node runs; returns whether it woke from a pause just now. */
+    /** Called on every tick; returns whether the node has just resumed from a pause. */
     boolean onTick() {
-        boolean woke =
+        boolean resumed =
                 mStalenessGate.onTick(mParts.ticker().millis(), mParts.wallMillis().getAsLong());
-        if (woke) {
+        if (resumed) {
             mConfirmations.reset();
         }
-        return woke;
+        return resumed;
     }
 
-    /** Notes a page that was read and lacks nothing that the node knows. */
+    /** Records a page that was read and is not older than the node's items. */
     void recordRead(PublishedPage page) {
-        long nowMillis = mElapsed.millis();
+        long nowMillis = mClock.millis();
         mConfirmations.recordRead(nowMillis - page.ageMillis(), nowMillis);
         mStalenessGate.onConfirmed();
         mWasRead = true;
     }
 
-    /** Notes that another node told that at that time the platform held nothing that is unknown. */
+    /** Records another node's report that the platform held nothing unknown at that time. */
     void recordPeerConfirmation(long atMillis) {
-        mConfirmations.recordPeerConfirmation(atMillis, mElapsed.millis());
+        mConfirmations.recordPeerConfirmation(atMillis, mClock.millis());
     }
 
-    /** Notes that at that time the platform answered this node or another. */
+    /** Records that the platform answered this node or another at that time. */
     void recordPlatformAnswer(long atMillis) {
-        mConfirmations.recordPlatformAnswer(atMillis, mElapsed.millis());
+        mConfirmations.recordPlatformAnswer(atMillis, mClock.millis());
     }
 }
--- a/src/main/java/org/apricotgauge/directory/WaitingReaders.java
+++ b/src/main/java/org/apricotgauge/directory/WaitingReaders.java
@@ -7,43 +7,43 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * The nodes that read the site from this one, while they wait for an answer: for a change, or for a
- * view that is young enough.
+ * Holds the requests of nodes that read the site from this one until they can be answered: at a
+ * change, or once the view is fresh enough.
  *
  * <pre>{@code
- * readers.ask(afterRevision, waitMillis, answer, nowMillis);
- * readers.answer(nowMillis);      // every tick, and after each change of the view
+ * readers.submit(afterRevision, waitMillis, answer, nowMillis);
+ * readers.answerDue(nowMillis);      // every tick, and after each change of the view
  * }</pre>
  *
  * <p>Not thread-safe.
  */
 final class WaitingReaders {
-    /** More than these are answered at once; a node has few children in the tree. */
+    /** Requests beyond this limit are answered at once; a node has few children in the tree. */
     static final int MAX_WAITING = 256;
 
     private final View mView;
     private final PlatformTimes mTimes;
     private final List<Reader> mWaiting = new ArrayList<>();
 
-    /** This node's view, and what it can do about it. */
+    /** This node's view of the site. */
     interface View {
-        /** Returns the items as known now. */
+        /** Returns the current items. */
         ItemTable items();
 
         /** Returns the age of the view, in milliseconds. */
         long ageMillis();
 
-        /** Returns whether the age is known; a node that has just started or woken can't tell. */
+        /** Returns whether the age is known; it is not right after a start or a pause. */
         boolean isAgeKnown();
 
-        /** Asks for a younger view; returns false if nobody can be asked. */
+        /** Requests a fresher view; returns false if no source is available. */
         boolean requestRefresh();
 
-        /** A reader was answered though the view it was told is no younger. */
+        /** Called after a request for a fresher view timed out and got the present one. */
         void onStaleAnswer();
     }
 
-    /** One that waits; {@code forChange} or else for a younger view. */
+    /** A waiting request: for a change, or else for a fresher view. */
     private record Reader(
             long afterRevision,
             boolean waitsForChange,
@@ -56,11 +56,11 @@
     }
 
     /**
-     * Takes a question.
+     * Answers a request at once if possible, and queues it otherwise.
      *
      * @param afterRevision revision that the reader has
-     * @param waitMillis how long it waits for a change; 0 if it asks for a younger view
-     * @param answer takes the answer
+     * @param waitMillis how long it waits for a change; 0 if it requests a fresher view
+     * @param answer completed with the answer
      * @param nowMillis present time
      */
     void submit(
@@ -68,14 +68,15 @@
             long waitMillis,
             CompletableFuture<PublishedPage> answer,
             long nowMillis) {
-        boolean forChange = waitMillis > 0;
-        long patienceMillis =
-                forChange
+        boolean waitsForChange = waitMillis > 0;
+        long timeoutMillis =
+                waitsForChange
                         ? Math.min(waitMillis, DirectoryFeed.WATCH_MILLIS)
                         : mTimes.nodeTimeoutMillis();
-        Reader reader = new Reader(afterRevision, forChange, nowMillis + patienceMillis, answer);
+        Reader reader =
+                new Reader(afterRevision, waitsForChange, nowMillis + timeoutMillis, answer);
         boolean isReady = isSatisfied(reader) || mWaiting.size() >= MAX_WAITING;
-        if (isReady || (!forChange && !mView.requestRefresh())) {
+        if (isReady || (!waitsForChange && !mView.requestRefresh())) {
             answer(reader);
         } else {
             mWaiting.add(reader);
@@ -88,12 +89,12 @@
                 : mView.isAgeKnown() && mView.ageMillis() <= mTimes.maxFreshAgeMillis();
     }
 
-    /** Answers whoever has what it waits for, or has waited for long enough. */
+    /** Answers all requests that are satisfied or timed out. */
     void answerDue(long nowMillis) {
         removeIf(this::isSatisfied).forEach(this::answer);
-        List<Reader> late = removeIf(reader -> nowMillis >= reader.deadlineMillis());
-        late.forEach(this::answer);
-        if (late.stream().anyMatch(reader -> !reader.waitsForChange())) {
+        List<Reader> expired = removeIf(reader -> nowMillis >= reader.deadlineMillis());
+        expired.forEach(this::answer);
+        if (expired.stream().anyMatch(reader -> !reader.waitsForChange())) {
             mView.onStaleAnswer();
         }
     }
--- a/src/main/java/org/apricotgauge/directory/package-info.java
+++ b/src/main/java/org/apricotgauge/directory/package-info.java
@@ -1,8 +1,7 @@
 /**
- * What a platform publishes under keys: the configuration whole, and targets that register
- * themselves.
+ * The service registry of a site as read from its platform: the configuration, and the targets that
+ * register themselves.
  *
- * <p>The decisions here are pure; {@link org.apricotgauge.directory.DirectoryFeed} alone has
- * timers.
+ * <p>The decisions here are pure; only {@link org.apricotgauge.directory.DirectoryFeed} has timers.
  */
 package org.apricotgauge.directory;
--- a/src/test/java/org/apricotgauge/directory/AgeAdjustingSourceTest.java
+++ b/src/test/java/org/apricotgauge/directory/AgeAdjustingSourceTest.java
@@ -25,8 +25,8 @@
 
     @Test
     void addsTimeSinceRequestToAge() {
-        // The platform is slow and answers after 250 ms; its answer may have been on its way for
-        // all of them, and a target may have left meanwhile.
+        // The platform answers after 250 ms. Its answer may have been in transit all that time, and
+        // a target may have left meanwhile.
         assertThat(readFor(0, 30).ageMillis()).isEqualTo(280);
     }
 
--- a/src/test/java/org/apricotgauge/directory/ConfirmationSimulationTest.java
+++ b/src/test/java/org/apricotgauge/directory/ConfirmationSimulationTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What it costs a fleet to keep every node's view of the site young, and whether it stays so.
+ * Measures the platform calls by which a simulated fleet keeps all views of the site fresh.
  *
- * <p>A model in steps of a millisecond: nodes send each other requests, whose acknowledgements tell
- * how old the view of the node that gives them is, and ask the platform when their own becomes too
- * old. All watches are silent, which is the worst case: nothing but questions confirms anything.
+ * <p>The simulation runs in steps of a millisecond. Nodes send each other requests, whose
+ * acknowledgements report the age of the sender's view, and query the platform when their own view
+ * becomes too old. All watches are silent, which is the worst case: only queries confirm a view.
  */
 class ConfirmationSimulationTest {
     private static final PlatformTimes TIMES = new PlatformTimes(2_000, 1_500);
@@ -21,18 +21,18 @@
 
     private static final long HOP_LATENCY_MILLIS = 4;
 
-    /** A node tells its view's age in one acknowledgement in this time at the most. */
+    /** A node reports its view's age in at most one acknowledgement per interval. */
     private static final long REPORT_INTERVAL_MILLIS = 10;
 
-    /** The fleet finds its pace in the first seconds. */
+    /** Duration after which the fleet is in a steady state. */
     private static final long WARM_UP_MILLIS = 2_000;
 
     private static final int MILLIS_PER_SECOND = 1_000;
 
     /**
-     * What a model of a fleet showed after it had warmed up.
+     * The result of a simulation after its warm-up.
      *
-     * @param callsPerSecond calls of the whole fleet to the platform
+     * @param callsPerSecond platform calls of the whole fleet
      * @param oldestMillis greatest age of any node's view
      */
     private record SimulationResult(double callsPerSecond, long oldestMillis) {}
@@ -65,23 +65,23 @@
         SimulationResult run(double requestsPerNodeAndSecond, long millis) {
             long calls = 0;
             long oldestMillis = 0;
-            double owed = 0;
+            double dueRequests = 0;
             for (long now = 1; now <= WARM_UP_MILLIS + millis; now++) {
-                for (owed += mNodes * requestsPerNodeAndSecond / MILLIS_PER_SECOND;
-                        owed >= 1;
-                        owed--) {
+                for (dueRequests += mNodes * requestsPerNodeAndSecond / MILLIS_PER_SECOND;
+                        dueRequests >= 1;
+                        dueRequests--) {
                     simulateRequest(now);
                 }
-                long asked = queryPlatform(now);
+                long queries = queryPlatform(now);
                 if (now > WARM_UP_MILLIS) {
-                    calls += asked;
+                    calls += queries;
                     oldestMillis = Math.max(oldestMillis, oldestMillis(now));
                 }
             }
             return new SimulationResult(calls * (double) MILLIS_PER_SECOND / millis, oldestMillis);
         }
 
-        /** One request between two nodes, with its acknowledgement. */
+        /** Simulates a request between two nodes, with its acknowledgement. */
         private void simulateRequest(long now) {
             int entry = mRandom.nextInt(mNodes);
             int guard = mRandom.nextInt(mNodes);
@@ -98,21 +98,23 @@
         }
 
         private long queryPlatform(long now) {
-            long asked = 0;
+            long queries = 0;
             for (int node = 0; node < mNodes; node++) {
                 if (mAnsweredAtMillis[node] <= now) {
                     mAnsweredAtMillis[node] = Long.MAX_VALUE;
                     mViews.get(node).recordRead(now, now);
                 }
                 boolean ticks = (now + node) % TICK_MILLIS == 0;
-                boolean waits = mAnsweredAtMillis[node] != Long.MAX_VALUE;
-                if (ticks && !waits && mViews.get(node).ageMillis(now) >= mQueryAtAgeMillis[node]) {
+                boolean isWaiting = mAnsweredAtMillis[node] != Long.MAX_VALUE;
+                if (ticks
+                        && !isWaiting
+                        && mViews.get(node).ageMillis(now) >= mQueryAtAgeMillis[node]) {
                     mQueryAtAgeMillis[node] = drawQueryAgeMillis();
                     mAnsweredAtMillis[node] = now + PLATFORM_LATENCY_MILLIS;
-                    asked++;
+                    queries++;
                 }
             }
-            return asked;
+            return queries;
         }
 
         private long oldestMillis(long now) {
@@ -126,7 +128,7 @@
         SimulationResult alone = new FleetModel(24, 1).run(0, 60_000);
 
         print("24 nodes", shared);
-        print("24 nodes that tell each other nothing", alone);
+        print("24 nodes without reports to each other", alone);
         assertFresh(shared);
         assertFresh(alone);
         assertThat(shared.callsPerSecond()).isLessThan(alone.callsPerSecond());
@@ -134,24 +136,24 @@
 
     @Test
     void largeFleetStaysWithinPlatformRate() {
-        // 7,100 nodes with 239 requests a second each; the platform serves 2,000 calls a second to
-        // all of them, of which waiting watches of 10 s take 710.
-        SimulationResult shown = new FleetModel(7_100, 2).run(239, 1_500);
+        // The expected fleet in two years: 7,100 nodes with 239 requests per second each. The
+        // platform serves 2,000 calls per second in total, of which watches of 10 s take 710.
+        SimulationResult result = new FleetModel(7_100, 2).run(239, 1_500);
 
-        print("7,100 nodes", shown);
-        assertFresh(shown);
-        assertThat(shown.callsPerSecond()).isLessThan(2_000 - 710);
+        print("7,100 nodes", result);
+        assertFresh(result);
+        assertThat(result.callsPerSecond()).isLessThan(2_000 - 710);
     }
 
-    private static void assertFresh(SimulationResult shown) {
-        assertThat(shown.oldestMillis())
+    private static void assertFresh(SimulationResult result) {
+        assertThat(result.oldestMillis())
                 .isLessThanOrEqualTo(
                         TIMES.maxViewAgeMillis() + TICK_MILLIS + PLATFORM_LATENCY_MILLIS);
     }
 
-    private static void print(String fleet, SimulationResult shown) {
+    private static void print(String fleet, SimulationResult result) {
         System.out.printf(
                 "%s: %.1f calls a second, oldest view %d ms%n",
-                fleet, shown.callsPerSecond(), shown.oldestMillis());
+                fleet, result.callsPerSecond(), result.oldestMillis());
     }
 }
--- a/src/test/java/org/apricotgauge/directory/ConfirmationTrackerTest.java
+++ b/src/test/java/org/apricotgauge/directory/ConfirmationTrackerTest.java
@@ -9,10 +9,9 @@
 
     @Test
     void ageExchangedBetweenNodesGrowsWithTime() {
-        // The platform is silent to all. Two nodes send each other requests, whose heads tell the
-        // ages of their views; a head takes 5 ms, which nobody counts. Passed on and on, the age
-        // stood still for as long as each head was on its way: after 10 s the nodes took their
-        // views for half as old, and after some more, work went to targets long gone.
+        // Guards against ages that ignore transit time: two nodes without a platform report ages to
+        // each other in headers that take 5 ms. The reported age did not grow in transit, so after
+        // 10 s the views counted as half as old, and later work went to removed targets.
         ConfirmationTracker one = new ConfirmationTracker(TIMES, 0);
         ConfirmationTracker other = new ConfirmationTracker(TIMES, 0);
         for (long nowMillis = 10; nowMillis <= 10_000; nowMillis += 10) {
@@ -39,7 +38,7 @@
         assertThat(confirmations.reportedAgeMillis(1_000)).isEqualTo(50);
     }
 
-    /** Guards against a target that keeps its place beyond its end because this process paused. */
+    /** Guards against a target that is retained too long because this process paused. */
     @Test
     void pauseShorterThanExpiryOutageDoesNotExtendRetention() {
         ConfirmationTracker confirmations = new ConfirmationTracker(TIMES, 0);
--- a/src/test/java/org/apricotgauge/directory/DirectoryFeedTest.java
+++ b/src/test/java/org/apricotgauge/directory/DirectoryFeedTest.java
@@ -14,7 +14,7 @@
 import org.apricotgauge.time.ManualTicker;
 import org.junit.jupiter.api.Test;
 
-/** A node's picture of the site while the platform answers, fails, is silent, or lags. */
+/** Tests a node's view of the site while the platform answers, fails, is silent, or lags. */
 class DirectoryFeedTest {
     private static final PlatformTimes TIMES = new PlatformTimes(2_000, 1_500);
     private static final Address PEER = new Address("127.0.0.2", 80);
@@ -37,7 +37,7 @@
                             TIMES),
                     site -> mSite = site);
 
-    /** Answers when told to. */
+    /** A source that is answered by the test. */
     private static final class FakeSource implements PublishedSource {
         private record Call(long after, long waitMillis, CompletableFuture<PublishedPage> answer) {}
 
@@ -80,8 +80,8 @@
 
     @Test
     void newNodeRefusedByPlatformBecomesReadyFromPeer() {
-        // The platform refuses this node and serves the others. The node knows nobody, until the
-        // first hop of another entry tells its address; its callers would be refused all the while.
+        // The platform refuses this node and serves the others. The node knows no peer until the
+        // first hop of another entry carries its address; its callers would be refused meanwhile.
         mFeed.start();
         mPlatform.fail();
         mFeed.hint(5, PEER);
@@ -95,8 +95,8 @@
 
     @Test
     void hintRevealsSilentWatch() {
-        // Something between node and platform dropped the connection without a reset. The node
-        // would route by the old version until the watch runs out, while others know the new one.
+        // The connection to the platform was dropped without a reset. The node would route by the
+        // old version until the watch times out, while other nodes already have the new one.
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
         advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
@@ -128,8 +128,8 @@
 
     @Test
     void suspendedNodeWaitsForConfirmation() {
-        // The VM stood still for ten seconds, and the steady clock with it. What the node knows of
-        // targets that left meanwhile is old; a booking would go to an address of another service.
+        // The VM was suspended for ten seconds, and its monotonic clock stopped. The node does not
+        // know of targets that left meanwhile; a booking would go to an address of another service.
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
         advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
@@ -146,10 +146,10 @@
 
     @Test
     void detectsChangeMadeBetweenPagesOfFullRead() {
-        // A site of many targets is read in pages, which are no snapshot: while the node asks for
-        // the second page, a target of the first says that it leaves. The second page holds a
-        // newer change, of another target; the watch then brings the older one. Passed over as
-        // known, it would leave a target in use that has left.
+        // A site of many targets is read in pages, which are no snapshot. Between two pages a
+        // target of the first one announces that it is leaving, and the second page contains a
+        // newer change of another target. The watch then delivers the older change; if it were
+        // ignored as known, a target that has left would stay in use.
         mFeed.start();
         mPlatform.answer(10, true, config(5, 1), target("a", 4), target("z", 12));
         advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
@@ -164,8 +164,8 @@
 
     @Test
     void changeWithoutRemainingItemIsNotRequestedRepeatedly() {
-        // The platform forgot its history, in which a target came and went. A node that read all
-        // anew knows no item as new as the revision that its peers name on every hop. It lacks
+        // The platform dropped its history, in which a target was added and removed. After a full
+        // read a node has no item as new as the revision that its peers send on every hop. It lacks
         // nothing, and must not call the platform five times a second until the next change.
         mFeed.start();
         mPlatform.answer(12, true, config(5, 1));
@@ -180,9 +180,9 @@
 
     @Test
     void answerOlderThanPeerPageDoesNotConfirm() {
-        // The platform's answer to a watch is held up on its way. Meanwhile a peer tells of a later
-        // change. The answer, when it comes, tells how things were long ago; taken for news of this
-        // moment, it would make the node and all who hear it trust an old view.
+        // The platform's answer to a watch is delayed. Meanwhile a peer sends a later change.
+        // Treated as current, the outdated answer would make the node, and all nodes that receive
+        // its age, trust a stale view.
         mFeed.start();
         mPlatform.answer(5, true, config(5, 1));
         advance(DirectoryFeed.PLATFORM_BATCHING_MILLIS);
@@ -203,17 +203,17 @@
         mPlatform.answer(5, true, config(5, 1));
         advance(700);
 
-        long askedMillis = mFeed.elapsedMillis();
-        mFeed.recordPeerView(new SiteView(6, 100), askedMillis);
+        long requestedAtMillis = mFeed.elapsedMillis();
+        mFeed.recordPeerView(new SiteView(6, 100), requestedAtMillis);
         assertThat(mFeed.view().ageMillis()).isEqualTo(700);
-        mFeed.recordPeerView(new SiteView(5, 100), askedMillis);
+        mFeed.recordPeerView(new SiteView(5, 100), requestedAtMillis);
         assertThat(mFeed.view().ageMillis()).isEqualTo(100);
-        mFeed.recordPeerView(new SiteView(5, 300), askedMillis);
+        mFeed.recordPeerView(new SiteView(5, 300), requestedAtMillis);
 
         assertThat(mFeed.view().ageMillis()).isEqualTo(100);
     }
 
-    /** Guards against work sent by what was known before a pause, when targets may have left. */
+    /** Guards against work sent by a view from before a pause, when targets may have left. */
     @Test
     void resumedNodeSendsNoWorkUntilViewIsConfirmed() {
         mFeed.start();
@@ -242,14 +242,14 @@
         assertThat(mPlatform.mCalls).hasSize(calls);
     }
 
-    /** Lets time pass as the node's worker sees it. */
+    /** Advances the time, with ticks of the worker. */
     private void advance(long millis) {
-        long left = millis;
-        while (left > 0) {
-            long step = Math.min(left, 100);
+        long remaining = millis;
+        while (remaining > 0) {
+            long step = Math.min(remaining, 100);
             mTicker.advanceMillis(step);
             mFeed.tick();
-            left -= step;
+            remaining -= step;
         }
     }
 
--- a/src/test/java/org/apricotgauge/directory/FakePlatform.java
+++ b/src/test/java/org/apricotgauge/directory/FakePlatform.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.apricotgauge.time.Ticker;
 
-/** A platform that holds watches, and whose connections, answers or service can fail. */
+/** A platform with watches, whose connections, answers or service can fail. */
 final class FakePlatform implements PublishedSource {
     private final Ticker mTicker;
     private final List<PublishedItem> mItems = new ArrayList<>();
@@ -39,14 +39,14 @@
         return watch.answer();
     }
 
-    /** Writes an item, and tells whoever watches. */
+    /** Writes an item and notifies the watches. */
     void publish(String key, byte[] value) {
         mItems.removeIf(item -> item.key().equals(key));
         mItems.add(new PublishedItem(key, value, ++mRevision, false));
         answerDue();
     }
 
-    /** Removes items in one step, and tells whoever watches. */
+    /** Removes items in one step and notifies the watches. */
     void remove(String... keys) {
         for (String key : keys) {
             mItems.removeIf(item -> item.key().equals(key));
@@ -55,15 +55,15 @@
         answerDue();
     }
 
-    /** Loses the connections that are open, without a sign; new ones work. */
+    /** Silently drops the open connections; new ones work. */
     void dropWatches() {
         mWaiting.clear();
     }
 
-    /** Refuses all calls from now on, and drops those that wait; or serves again. */
-    void setUnavailable(boolean away) {
-        mUnavailable = away;
-        if (away) {
+    /** Refuses all calls from now on and fails pending ones, or serves again. */
+    void setUnavailable(boolean unavailable) {
+        mUnavailable = unavailable;
+        if (unavailable) {
             List<Watch> dropped = List.copyOf(mWaiting);
             mWaiting.clear();
             dropped.forEach(
@@ -71,18 +71,18 @@
         }
     }
 
-    /** Answers nothing from now on, keeping what waits; or answers again. */
+    /** Keeps all calls pending from now on, or answers again. */
     void setSilent(boolean silent) {
         mSilent = silent;
         answerDue();
     }
 
-    /** Lets each answer be on its way for a time from now on. */
+    /** Sets the latency of all later answers. */
     void setLatency(long millis) {
         mLatencyMillis = millis;
     }
 
-    /** Answers what has something to tell or has waited for long enough. */
+    /** Answers all calls with changes to report or an expired wait. */
     void answerDue() {
         deliverDue();
         if (mSilent) {
@@ -107,9 +107,11 @@
 
     private void deliverDue() {
         List<Delivery> due =
-                mDeliveries.stream().filter(one -> one.atMillis() <= mTicker.millis()).toList();
+                mDeliveries.stream()
+                        .filter(delivery -> delivery.atMillis() <= mTicker.millis())
+                        .toList();
         mDeliveries.removeAll(due);
-        due.forEach(one -> one.answer().complete(one.page()));
+        due.forEach(delivery -> delivery.answer().complete(delivery.page()));
     }
 
     private PublishedPage page(long afterRevision) {
--- a/src/test/java/org/apricotgauge/directory/ItemTableTest.java
+++ b/src/test/java/org/apricotgauge/directory/ItemTableTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Pages from the platform and from peers, in whatever order they arrive. */
+/** Tests pages from the platform and from peers in any order of arrival. */
 class ItemTableTest {
 
     @Test
@@ -18,7 +18,7 @@
 
     @Test
     void fullPageRemovesMissingKeys() {
-        // The platform has forgotten its history, so that no event tells of the removal.
+        // The platform dropped its history, so that no event reports the removal.
         ItemTable table = ItemTable.EMPTY.with(fullPage(10, item("a", 9), item("b", 10)));
 
         ItemTable later = table.with(fullPage(20, item("a", 9)));
@@ -36,10 +36,10 @@
 
     @Test
     void laggingPeerCatchesUpFromChanges() {
-        ItemTable old = ItemTable.EMPTY.with(fullPage(10, item("a", 9), item("b", 10)));
-        ItemTable ahead = old.with(changes(12, item("a", 11), PublishedItem.removed("b", 12)));
+        ItemTable lagging = ItemTable.EMPTY.with(fullPage(10, item("a", 9), item("b", 10)));
+        ItemTable ahead = lagging.with(changes(12, item("a", 11), PublishedItem.removed("b", 12)));
 
-        ItemTable caughtUp = old.with(ahead.changesAfter(old.revision()));
+        ItemTable caughtUp = lagging.with(ahead.changesAfter(lagging.revision()));
 
         assertThat(caughtUp.newestRevision()).isEqualTo(12);
         assertThat(caughtUp.item("a").revision()).isEqualTo(11);
@@ -52,28 +52,28 @@
 
     @Test
     void sendsFullPageIfRemovalBeforeFirstReadWasNotSeen() {
-        // A node starts, and reads the site after a target has left and its key is gone. Another
-        // that still knows the target asks for the changes since; told only those, it would send
-        // requests there for good.
+        // A node starts and reads the site after a target has left and its key was removed. A node
+        // that still has the target requests the changes since; if it received only those, it would
+        // send requests there forever.
         ItemTable table = ItemTable.EMPTY.with(fullPage(9, item("a", 3)));
-        ItemTable asker = ItemTable.EMPTY.with(fullPage(5, item("a", 3), item("gone", 5)));
+        ItemTable reader = ItemTable.EMPTY.with(fullPage(5, item("a", 3), item("gone", 5)));
 
-        ItemTable told = asker.with(table.changesAfter(asker.revision()));
+        ItemTable updated = reader.with(table.changesAfter(reader.revision()));
 
-        assertThat(told.item("gone").removed()).isTrue();
+        assertThat(updated.item("gone").removed()).isTrue();
     }
 
     @Test
     void sendsFullPageIfLaterFullReadSkippedReaderRevision() {
-        // As above, but the node knew the site before; the platform dropped its history, in which
-        // a target came and went.
+        // As above, but the node had read the site before; the platform dropped its history, in
+        // which a target was added and removed.
         ItemTable table =
                 ItemTable.EMPTY.with(fullPage(3, item("a", 3))).with(fullPage(9, item("a", 3)));
-        ItemTable asker = ItemTable.EMPTY.with(fullPage(5, item("a", 3), item("gone", 5)));
+        ItemTable reader = ItemTable.EMPTY.with(fullPage(5, item("a", 3), item("gone", 5)));
 
         assertThat(table.changesAfter(3).full()).isFalse();
         assertThat(table.hasChangesFor(5)).isTrue();
-        assertThat(asker.with(table.changesAfter(5)).item("gone").removed()).isTrue();
+        assertThat(reader.with(table.changesAfter(5)).item("gone").removed()).isTrue();
     }
 
     private static PublishedPage fullPage(long revision, PublishedItem... items) {
--- a/src/test/java/org/apricotgauge/directory/LeavingTargetTest.java
+++ b/src/test/java/org/apricotgauge/directory/LeavingTargetTest.java
@@ -14,34 +14,35 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whether a node knows in time that a target leaves or is gone.
+ * Tests that a node detects in time that a target is leaving or was removed.
  *
- * <p>The incident: callers' requests reached a target up to 2.2 s and more after the platform had
- * its word that it leaves; it takes them for 2 s. Some seconds before, all open connections had
- * gone silent. The nodes' logs showed two causes, each enough: views of the site 11 s old at entry
- * and guard alike, since every watch waited on a dead connection; and, once the nodes had given
- * those watches up, registrations that ended and were kept for 2.2 s more as if the platform had
- * been away, though it had answered all new calls.
+ * <p>Guards against requests that reach a target 2.2 s and more after the platform had its leaving
+ * notice; the target accepts them for 2 s. There were two causes, each sufficient, after all open
+ * connections had gone silent: views of the site were 11 s old at entry and guard, since every
+ * watch waited on a dead connection; and once those watches had timed out, ended registrations were
+ * retained for 2.2 s more as if the platform had been unavailable, though it answered new calls.
  */
 class LeavingTargetTest {
-    /** How long a target takes requests after the platform has its word. */
+    /** How long a target accepts requests after the platform has its leaving notice. */
     private static final long SERVES_ON_MILLIS = 2_000;
 
-    /** How often targets write; three heartbeats that are missing end a registration. */
+    /** Interval of targets' writes; three missing heartbeats end a registration. */
     private static final long HEARTBEAT_MILLIS = 1_500;
 
-    /** What a request takes from the last look at the table to the target, with a late timer. */
+    /**
+     * Time from the last read of the table until a request reaches the target, with a late timer.
+     */
     private static final long LAST_HOP_LATENCY_MILLIS = 100;
 
     private static final long TICK_MILLIS = 100;
 
-    /** What an answer takes on a link that a large configuration has filled. */
+    /** Latency of an answer on a link that is busy with a large configuration. */
     private static final long SLOW_ANSWER_LATENCY_MILLIS = 600;
 
-    /** What a page takes on a link that is full for longer than two heartbeats. */
+    /** Latency of a page on a link that is saturated for longer than two heartbeats. */
     private static final long SATURATED_LINK_LATENCY_MILLIS = 3_500;
 
-    /** What another guard's word takes on such a link, and how old its view is. */
+    /** Latency of another guard's view report on such a link. */
     private static final long PEER_VIEW_LATENCY_MILLIS = 1_200;
 
     private static final long PEER_VIEW_AGE_MILLIS = 300;
@@ -80,7 +81,7 @@
     @Test
     void leavingTargetIsDetectedInTimeDespiteSilentWatch() {
         // The open connection to the platform goes silent without a reset; new ones work. No hop
-        // brings a hint: all other nodes are in the same state. Then a target says that it leaves.
+        // carries a hint, as all other nodes are in the same state. Then a target is leaving.
         mPlatform.dropWatches();
         advance(4_000);
 
@@ -90,7 +91,7 @@
         assertThat(acceptingTargets()).containsExactly("b", "c");
     }
 
-    /** Guards against work for a target that left while a change before it was on its way. */
+    /** Guards against work for a target that left while an earlier change was in transit. */
     @Test
     void endedRegistrationIsAppliedInTimeDespiteSlowAnswers() {
         mPlatform.setLatency(SLOW_ANSWER_LATENCY_MILLIS);
@@ -105,8 +106,8 @@
 
     @Test
     void endedRegistrationIsAppliedInTimeAfterFailedCall() {
-        // One call of this node fails, and the next is answered: the platform was never away. A
-        // target whose registration then ends has left, and may not be kept as one that ran out.
+        // One call of this node fails and the next is answered, so the platform had no outage. A
+        // target whose registration then ends has left, and must not be retained as an expired one.
         mPlatform.setUnavailable(true);
         mPlatform.setUnavailable(false);
         advance(1_000);
@@ -119,8 +120,8 @@
 
     @Test
     void simultaneouslyEndedRegistrationsAreAppliedInTimeWhilePlatformIsAvailable() {
-        // Three targets leave in one step without a word before. The platform has answered all the
-        // while, so that nothing has run out: to keep them would send work to targets that left.
+        // Three targets leave at once without a leaving notice. The platform answered all the time,
+        // so no registration expired: retaining them would send work to targets that left.
         mPlatform.remove("a", "b", "c");
         advance(SERVES_ON_MILLIS - LAST_HOP_LATENCY_MILLIS);
 
@@ -129,9 +130,9 @@
 
     @Test
     void expiredRegistrationsAreRetainedAfterPlatformOutage() {
-        // The platform is away for longer than leases last. Back, it holds no registration of the
-        // targets, which all live and write again within 2 s: dropped, they would leave every
-        // caller refused.
+        // A platform outage lasts longer than the leases. After it the platform has no
+        // registrations of the targets, which are all alive and write again within 2 s: without
+        // retention every caller would be refused.
         mPlatform.setUnavailable(true);
         advance(6_000);
         mPlatform.remove("a", "b", "c");
@@ -148,8 +149,8 @@
 
     @Test
     void expiredRegistrationsAreRetainedIfWatchSurvivedOutage() {
-        // As above, but the platform fell silent and lost no connection: a waiting watch stays as
-        // it is, and its next answer tells that all registrations are gone.
+        // As above, but the platform went silent and lost no connection: a pending watch remains,
+        // and its next answer reports that all registrations were removed.
         mPlatform.setSilent(true);
         advance(6_000);
         mPlatform.remove("a", "b", "c");
@@ -159,7 +160,9 @@
         assertThat(acceptingTargets()).containsExactly("a", "b", "c");
     }
 
-    /** Guards against work for a target that left, by a node that nothing reached for a while. */
+    /**
+     * Guards against work for a target that left, from a node that received nothing for a while.
+     */
     @Test
     void endedRegistrationIsNotRetainedWhileOthersReadPlatform() {
         mPlatform.setLatency(SATURATED_LINK_LATENCY_MILLIS);
@@ -173,12 +176,12 @@
         assertThat(acceptingTargets()).containsExactly("b", "c");
     }
 
-    /** Guards against work for a target that left, by an answer that was long on its way. */
+    /** Guards against work for a target that left, after an answer with a long transit time. */
     @Test
     void slowAnswerDoesNotExtendRetention() {
         PlatformTimes times = new PlatformTimes(2_500, 1_200);
-        long latestQuestion = 2 * (times.maxViewAgeMillis() - times.nodeQueryAgeMillis());
-        mFeed = feed(times, () -> latestQuestion);
+        long latestQueryDraw = 2 * (times.maxViewAgeMillis() - times.nodeQueryAgeMillis());
+        mFeed = feed(times, () -> latestQueryDraw);
         mFeed.start();
         advance(1_000);
 
@@ -190,23 +193,25 @@
         assertThat(acceptingTargets()).containsExactly("b", "c");
     }
 
-    /** Guards against a service without targets after an absence of which others told all along. */
+    /**
+     * Guards against a service without targets after an outage during which peers reported ages.
+     */
     @Test
     void expiredRegistrationsAreRetainedDespiteStalePeerViews() {
-        long awayFromMillis = mTicker.millis();
+        long outageStartMillis = mTicker.millis();
         mPlatform.setUnavailable(true);
-        advanceWithPeerViews(6_000, atMillis -> Math.min(atMillis, awayFromMillis));
+        advanceWithPeerViews(6_000, atMillis -> Math.min(atMillis, outageStartMillis));
 
         mPlatform.remove("a", "b", "c");
         mPlatform.setUnavailable(false);
-        long backFromMillis = mTicker.millis();
+        long outageEndMillis = mTicker.millis();
         advanceWithPeerViews(
-                1_900, atMillis -> atMillis < backFromMillis ? awayFromMillis : atMillis);
+                1_900, atMillis -> atMillis < outageEndMillis ? outageStartMillis : atMillis);
 
         assertThat(acceptingTargets()).containsExactly("a", "b", "c");
     }
 
-    /** Guards against a fleet that refuses all work because its platform is away. */
+    /** Guards against a fleet that refuses all work during a platform outage. */
     @Test
     void silentPlatformBarelyInterruptsWork() {
         mPlatform.setSilent(true);
@@ -221,33 +226,33 @@
 
     private List<String> acceptingTargets() {
         return mSite.registrations().stream()
-                .filter(one -> !one.leaving())
+                .filter(registration -> !registration.leaving())
                 .map(Registration::name)
                 .toList();
     }
 
-    /** Lets time pass as the node's worker sees it. */
+    /** Advances the time, with ticks of the worker. */
     private void advance(long millis) {
-        long left = millis;
-        while (left > 0) {
-            long step = Math.min(left, TICK_MILLIS);
+        long remaining = millis;
+        while (remaining > 0) {
+            long step = Math.min(remaining, TICK_MILLIS);
             mTicker.advanceMillis(step);
             mPlatform.answerDue();
             mFeed.tick();
-            left -= step;
+            remaining -= step;
         }
     }
 
     /**
-     * As {@link #advance}, while guards that know more tell how old their views are.
+     * As {@link #advance}, while guards that are ahead report the ages of their views.
      *
-     * @param readMillis when a guard had last read the platform, by the time at which it tells
+     * @param readMillis returns when a guard last read the platform, for the time of its report
      */
     private void advanceWithPeerViews(long millis, LongUnaryOperator readMillis) {
-        for (long left = millis; left > 0; left -= TICK_MILLIS) {
+        for (long remaining = millis; remaining > 0; remaining -= TICK_MILLIS) {
             advance(TICK_MILLIS);
-            long toldMillis = mTicker.millis() - PEER_VIEW_LATENCY_MILLIS;
-            long ageMillis = toldMillis - readMillis.applyAsLong(toldMillis);
+            long reportedAtMillis = mTicker.millis() - PEER_VIEW_LATENCY_MILLIS;
+            long ageMillis = reportedAtMillis - readMillis.applyAsLong(reportedAtMillis);
             mFeed.recordPeerView(
                     new SiteView(Long.MAX_VALUE, ageMillis),
                     mFeed.elapsedMillis() - PEER_VIEW_LATENCY_MILLIS);
--- a/src/test/java/org/apricotgauge/directory/PageCodecTest.java
+++ b/src/test/java/org/apricotgauge/directory/PageCodecTest.java
@@ -26,16 +26,16 @@
     @Test
     void roundTripsPage() throws Exception {
         for (boolean compressed : new boolean[] {true, false}) {
-            PublishedPage back = mCodec.decode(mCodec.encode(PAGE, compressed));
+            PublishedPage decoded = mCodec.decode(mCodec.encode(PAGE, compressed));
 
-            assertThat(back.revision()).isEqualTo(7);
-            assertThat(back.full()).isTrue();
-            assertThat(back.ageMillis()).isEqualTo(250);
-            assertThat(back.items())
+            assertThat(decoded.revision()).isEqualTo(7);
+            assertThat(decoded.full()).isTrue();
+            assertThat(decoded.ageMillis()).isEqualTo(250);
+            assertThat(decoded.items())
                     .extracting(PublishedItem::key)
                     .containsExactly("small", "large", "gone");
-            assertThat(back.items().get(1).value()).isEqualTo(LARGE);
-            assertThat(back.items().get(2).removed()).isTrue();
+            assertThat(decoded.items().get(1).value()).isEqualTo(LARGE);
+            assertThat(decoded.items().get(2).removed()).isTrue();
         }
     }
 
--- a/src/test/java/org/apricotgauge/directory/PendingReadTest.java
+++ b/src/test/java/org/apricotgauge/directory/PendingReadTest.java
@@ -17,7 +17,7 @@
     private final PendingRead mRead =
             new PendingRead(
                     Runnable::run,
-                    (page, inTime) -> mNotifications.add(inTime ? "page in time" : "late page"));
+                    (page, isTimely) -> mNotifications.add(isTimely ? "timely page" : "late page"));
     private final PendingRead.CompletionListener mCompletionListener =
             new PendingRead.CompletionListener() {
                 @Override
@@ -49,7 +49,7 @@
         mAnswers.get(0).complete(PAGE);
         mRead.expire(100);
 
-        assertThat(mNotifications).containsExactly("page in time", "answered");
+        assertThat(mNotifications).containsExactly("timely page", "answered");
         assertThat(mRead.isInProgress()).isFalse();
     }
 
@@ -64,8 +64,8 @@
 
     @Test
     void latePageIsDeliveredWithoutCompletingRead() {
-        // It may have waited in a socket while this process was suspended; taken for the answer of
-        // this moment it would confirm an old view.
+        // It may have been buffered in a socket while this process was suspended; treated as
+        // current it would confirm a stale view.
         start();
         mRead.expire(100);
         mAnswers.get(0).complete(PAGE);
@@ -81,7 +81,7 @@
         assertThat(mRead.isInProgress()).isTrue();
         mAnswers.get(1).complete(PAGE);
 
-        assertThat(mNotifications).containsExactly("page in time", "answered");
+        assertThat(mNotifications).containsExactly("timely page", "answered");
     }
 
     @Test
--- a/src/test/java/org/apricotgauge/directory/ReaderSimulationTest.java
+++ b/src/test/java/org/apricotgauge/directory/ReaderSimulationTest.java
@@ -9,27 +9,28 @@
 import org.apricotgauge.directory.SimulatedSite.SiteNode;
 import org.junit.jupiter.api.Test;
 
-/** Few nodes read the platform, and all know what it says in time, whoever fails. */
+/** Tests that few nodes read the platform, and that all learn changes in time despite failures. */
 class ReaderSimulationTest {
     private static final long SECOND_MILLIS = 1_000;
 
-    /** A link of 10 Mbit/s. */
+    /** Bandwidth of a link of 10 Mbit/s. */
     private static final long NARROW_LINK_BYTES_PER_MILLI = 1_250;
 
     @Test
     void idleCallsDoNotGrowWithNodesPerFailureDomain() {
-        // Each node that reads the platform itself costs a waiting watch, a question every second
-        // or two, and a call for each change: at 113 nodes a hundred calls a second.
+        // Each node that reads the platform costs a watch, a query every second or two, and a call
+        // per change: with 113 nodes a hundred calls per second.
         long small = idleCalls(new SimulatedSite(3, 8, 1));
         long large = idleCalls(new SimulatedSite(3, 40, 1));
 
-        System.out.printf("calls in 20 s at rest: 24 nodes %d, 120 nodes %d%n", small, large);
-        // The site asks as often as its view must be made younger, whoever wants it; and one node
-        // of each failure domain watches.
+        System.out.printf(
+                "calls in 20 s without changes: 24 nodes %d, 120 nodes %d%n", small, large);
+        // The site queries as often as its view must be refreshed, for all nodes together; and one
+        // node of each failure domain watches.
         long watches = 3 * (20 * SECOND_MILLIS / DirectoryFeed.WATCH_MILLIS + 1);
-        long most = 20 * SECOND_MILLIS / SimulatedSite.TIMES.maxFreshAgeMillis() + 1 + watches;
-        assertThat(small).isLessThan(most);
-        assertThat(large).isLessThan(most);
+        long maxCalls = 20 * SECOND_MILLIS / SimulatedSite.TIMES.maxFreshAgeMillis() + 1 + watches;
+        assertThat(small).isLessThan(maxCalls);
+        assertThat(large).isLessThan(maxCalls);
     }
 
     private static long idleCalls(SimulatedSite site) {
@@ -56,9 +57,9 @@
 
     @Test
     void outageCausesNoRetryStorm() {
-        // The platform is away for 20 s. Each node that looks for it every 0.3 s would keep an
-        // overloaded platform so; and the readers of the platform must still see its return at
-        // once, since targets that are missing 2 s after it are gone.
+        // The platform is unavailable for 20 s. Retries of every node each 0.3 s would keep an
+        // overloaded platform overloaded. The readers of the platform must still detect its
+        // recovery at once, since targets that are missing 2 s after it are removed.
         SimulatedSite site = new SimulatedSite(3, 40, 3);
         site.advance(10 * SECOND_MILLIS);
 
@@ -70,11 +71,11 @@
         site.publish("x", "d0");
         site.advance(SECOND_MILLIS);
 
-        System.out.printf("120 nodes in an outage: %d calls a second%n", callsPerSecond);
-        // Two nodes of each failure domain try every 0.6 s, all others 40 times a second together.
+        System.out.printf("120 nodes in an outage: %d calls per second%n", callsPerSecond);
+        // Two nodes per failure domain retry every 0.6 s, all others together 40 times per second.
         assertThat(callsPerSecond).isLessThan(3 * 2 * 2 + 40);
         assertThat(site.nodes())
-                .allMatch(node -> node.feed().newestRevision() == 122, "knows the change");
+                .allMatch(node -> node.feed().newestRevision() == 122, "has the change");
         site.advance(DirectoryFeed.WATCH_MILLIS + SuspectTracker.MAX_MILLIS);
         assertThat(site.readers()).hasSize(3);
     }
@@ -91,7 +92,7 @@
         assertThat(site.nodes()).allMatch(node -> node.feed().newestRevision() == 38);
     }
 
-    /** Guards against a word of leaving that waits behind a large configuration on its way. */
+    /** Guards against a leaving notice that is queued behind a large configuration on a link. */
     @Test
     void largeConfigurationOnNarrowLinksDoesNotDelayLaterChange() {
         SimulatedSite site = new SimulatedSite(3, 24, 8);
@@ -121,9 +122,9 @@
 
     @Test
     void failedReaderDelaysNoOtherNode() {
-        // The nodes of a failure domain learn all they know from one of them. It dies, or is
-        // suspended, or the platform refuses it; right then a target leaves. The others must know
-        // in time, and must agree on another reader rather than all become one.
+        // The nodes of a failure domain receive all changes from one of them. It dies, is
+        // suspended, or is refused by the platform just when a target is leaving. The others must
+        // learn that in time, and must agree on another reader instead of all reading the platform.
         for (int fault = 0; fault < 3; fault++) {
             SimulatedSite site = new SimulatedSite(3, 20, 5);
             site.advance(10 * SECOND_MILLIS);
@@ -146,8 +147,8 @@
 
     @Test
     void remainingNodesStayCurrentWhenHalfTheNodesFail() {
-        // Every second VM loses its power at one moment, readers among them; their targets stay
-        // registered, so that all others still take them for parents. Right then a target leaves.
+        // Every second VM loses power at once, including readers. Their targets stay registered, so
+        // that the other nodes still select them as parents. Right then a target is leaving.
         SimulatedSite site = new SimulatedSite(3, 20, 6);
         site.advance(10 * SECOND_MILLIS);
         site.readers().forEach(SiteNode::kill);
@@ -167,13 +168,13 @@
 
     @Test
     void remainingNodesStayCurrentWithoutFailureDomain() {
-        // A whole failure domain is lost, the one among them whose reader confirms the views of the
-        // other readers. Its targets stay registered for some seconds.
-        for (String lost : List.of("d0", "d1", "d2")) {
+        // Each failure domain fails in turn, including the one whose reader confirms the views of
+        // the other readers. Its targets stay registered for some seconds.
+        for (String failedDomain : List.of("d0", "d1", "d2")) {
             SimulatedSite site = new SimulatedSite(3, 12, 7);
             site.advance(10 * SECOND_MILLIS);
             site.nodes().stream()
-                    .filter(node -> node.domain().equals(lost))
+                    .filter(node -> node.domain().equals(failedDomain))
                     .forEach(SiteNode::kill);
 
             site.publish("x", "d0");
@@ -196,13 +197,13 @@
 
     @Property(seed = "24", tries = 150)
     void connectedNodesLearnChangesInTimeUnderFaults(@ForAll long seed) {
-        FaultSequence trouble = new FaultSequence(seed);
+        FaultSequence faults = new FaultSequence(seed);
         for (int step = 0; step < 60; step++) {
-            trouble.step();
+            faults.step();
         }
     }
 
-    /** A course of faults, changes and calm, drawn from a seed. */
+    /** A random sequence of faults, changes and stable periods, drawn from a seed. */
     private static final class FaultSequence {
         private final SplittableRandom mRandom;
         private final SimulatedSite mSite;
@@ -222,7 +223,7 @@
                 case 0 -> node.kill();
                 case 1 -> pause(node);
                 case 2 -> node.setRefused(true);
-                case 3 -> mSite.nodes().forEach(one -> one.setRefused(false));
+                case 3 -> mSite.nodes().forEach(each -> each.setRefused(false));
                 case 4, 7, 8 -> injectPlatformFault(kind);
                 case 5, 6 -> heal();
                 case 9 -> mSite.silenceConnections();
@@ -258,7 +259,7 @@
             mSite.platform().setUnavailable(false);
             mSite.platform().setLosesAnswers(false);
             mSite.restorePaths();
-            mSite.nodes().forEach(one -> one.setRefused(false));
+            mSite.nodes().forEach(each -> each.setRefused(false));
             mSite.nodes().forEach(FaultSequence::restore);
             advance(2 * SimulatedSite.STABLE_MILLIS);
         }
@@ -283,8 +284,8 @@
         }
 
         private void advance(long millis) {
-            for (long left = millis; left > 0; left -= 50) {
-                mSite.advance(Math.min(left, 50));
+            for (long remaining = millis; remaining > 0; remaining -= 50) {
+                mSite.advance(Math.min(remaining, 50));
                 assertThat(mSite.staleNodes()).isEmpty();
             }
         }
--- a/src/test/java/org/apricotgauge/directory/ReaderTreeTest.java
+++ b/src/test/java/org/apricotgauge/directory/ReaderTreeTest.java
@@ -52,7 +52,7 @@
 
     private static int steps(Address node, Map<Address, Address> parents) {
         int steps = 0;
-        for (Address at = node; parents.containsKey(at); at = parents.get(at)) {
+        for (Address next = node; parents.containsKey(next); next = parents.get(next)) {
             steps++;
         }
         return steps;
@@ -77,15 +77,17 @@
 
     @Test
     void unregisteredNodeIsNeverAParent() {
-        // Its target is still starting, or leaves: the others do not know of the node, and would
-        // not follow it; as a reader of the platform it would be one too many.
+        // The node's target is still starting or is leaving. The other nodes do not know the node
+        // and would not read from it, so as a reader of the platform it would be superfluous.
         List<Node> site = site(20);
-        Node stranger = new Node(new Address("stranger", 80), "a");
+        Node unregistered = new Node(new Address("stranger", 80), "a");
 
-        assertThat(parentOf(stranger, site, Set.of())).isPresent();
+        assertThat(parentOf(unregistered, site, Set.of())).isPresent();
         assertThat(site)
                 .noneMatch(
-                        one -> parentOf(one, site, Set.of()).equals(Optional.of(stranger.guard())));
+                        node ->
+                                parentOf(node, site, Set.of())
+                                        .equals(Optional.of(unregistered.guard())));
     }
 
     @Test
@@ -97,7 +99,9 @@
         List<Address> confirmers =
                 readers.stream()
                         .flatMap(
-                                node -> new ReaderTree(node, site).confirmer(one -> false).stream())
+                                node ->
+                                        new ReaderTree(node, site)
+                                                .confirmer(guard -> false).stream())
                         .toList();
 
         assertThat(confirmers).hasSize(1);
--- a/src/test/java/org/apricotgauge/directory/SimulatedPlatform.java
+++ b/src/test/java/org/apricotgauge/directory/SimulatedPlatform.java
@@ -11,9 +11,7 @@
 import org.apricotgauge.directory.SimulatedSite.SiteNode;
 import org.apricotgauge.time.ManualTicker;
 
-/**
- * The platform of a {@link SimulatedSite}: it counts its calls and remembers when it was told what.
- */
+/** The platform of a {@link SimulatedSite}, which records its calls and the times of all writes. */
 final class SimulatedPlatform {
     private final ManualTicker mTicker;
     private final Map<String, TreeMap<Long, Write>> mWrites = new TreeMap<>();
@@ -55,58 +53,59 @@
         answerDue();
     }
 
-    /** Refuses all calls from now on and cuts those that wait; or serves again. */
-    void setUnavailable(boolean away) {
-        mUnavailable = away;
+    /** Refuses all calls from now on and fails pending ones, or serves again. */
+    void setUnavailable(boolean unavailable) {
+        mUnavailable = unavailable;
         recordDisturbance();
-        if (away) {
-            List<WaitingWatch> cut = List.copyOf(mWatches);
+        if (unavailable) {
+            List<WaitingWatch> failed = List.copyOf(mWatches);
             mWatches.clear();
-            cut.forEach(watch -> watch.answer().completeExceptionally(new IOException("reset")));
+            failed.forEach(watch -> watch.answer().completeExceptionally(new IOException("reset")));
         }
     }
 
-    /** Loses every answer from now on; or not any longer. */
-    void setLosesAnswers(boolean loses) {
-        mLosesAnswers = loses;
+    /** Drops every answer from now on, or answers again. */
+    void setLosesAnswers(boolean losesAnswers) {
+        mLosesAnswers = losesAnswers;
         recordDisturbance();
     }
 
-    /** Forgets all changes up to now. */
+    /** Drops the history of all changes so far. */
     void dropHistory() {
         mHistoryStartRevision = mRevision;
         mItems.values().removeIf(PublishedItem::removed);
     }
 
-    /** Loses waiting watches without a word. */
-    void dropWatches(Predicate<SiteNode> isOf) {
-        mWatches.removeIf(watch -> isOf.test(watch.reader()));
+    /** Silently drops pending watches. */
+    void dropWatches(Predicate<SiteNode> isAffected) {
+        mWatches.removeIf(watch -> isAffected.test(watch.reader()));
     }
 
-    /** Something about the platform's service is different from now on. */
+    /** Records that the platform's behavior changes now. */
     void recordDisturbance() {
         mDisturbedAtMillis = mTicker.millis();
     }
 
-    /** Returns whether the platform has served as it should for a time. */
+    /** Returns whether the platform has served normally for a time. */
     boolean isStableFor(long millis) {
         return !mUnavailable && !mLosesAnswers && mTicker.millis() - mDisturbedAtMillis >= millis;
     }
 
-    /** Takes a call. */
-    void read(SiteNode reader, long after, long waitMillis, CompletableFuture<PublishedPage> to) {
+    /** Handles a call. */
+    void read(
+            SiteNode reader, long after, long waitMillis, CompletableFuture<PublishedPage> answer) {
         mCallsAtMillis.add(mTicker.millis());
         if (mUnavailable || reader.isRefused()) {
-            to.completeExceptionally(new IOException("refused"));
+            answer.completeExceptionally(new IOException("refused"));
             return;
         }
         if (!mLosesAnswers) {
-            mWatches.add(new WaitingWatch(after, mTicker.millis() + waitMillis, reader, to));
+            mWatches.add(new WaitingWatch(after, mTicker.millis() + waitMillis, reader, answer));
             answerDue();
         }
     }
 
-    /** Answers what has something to tell or has waited for long enough. */
+    /** Answers all calls with changes to report or an expired wait. */
     void answerDue() {
         if (mUnavailable || mLosesAnswers) {
             return;
@@ -123,36 +122,38 @@
     }
 
     private PublishedPage page(long after) {
-        boolean whole = after < mHistoryStartRevision || after == 0;
+        boolean isFull = after < mHistoryStartRevision || after == 0;
         List<PublishedItem> items =
                 mItems.values().stream()
-                        .filter(item -> whole ? !item.removed() : item.revision() > after)
+                        .filter(item -> isFull ? !item.removed() : item.revision() > after)
                         .sorted(Comparator.comparingLong(PublishedItem::revision))
                         .toList();
-        return new PublishedPage(mRevision, whole, items);
+        return new PublishedPage(mRevision, isFull, items);
     }
 
-    /** Returns the calls of the last milliseconds. */
+    /** Returns the number of calls in the last milliseconds. */
     long callsInLast(long millis) {
-        return mCallsAtMillis.stream().filter(at -> at > mTicker.millis() - millis).count();
+        return mCallsAtMillis.stream()
+                .filter(atMillis -> atMillis > mTicker.millis() - millis)
+                .count();
     }
 
-    /** Returns the nodes whose watches wait. */
+    /** Returns the nodes with pending watches. */
     List<SiteNode> readers() {
         return mWatches.stream().map(WaitingWatch::reader).distinct().toList();
     }
 
-    /** Returns when the earliest change was written that a table lacks; now if it lacks none. */
+    /** Returns when the earliest change that a table lacks was written; now if it lacks none. */
     long earliestMissingChangeMillis(ItemTable items) {
         long earliest = mTicker.millis();
         for (Map.Entry<String, TreeMap<Long, Write>> key : mWrites.entrySet()) {
             PublishedItem item = items.item(key.getKey());
-            long known = item == null ? 0 : item.revision();
-            boolean isGone = item == null || item.removed();
-            boolean isSame = isGone && key.getValue().lastEntry().getValue().removed();
-            Map.Entry<Long, Write> unknown = key.getValue().higherEntry(known);
-            if (unknown != null && !isSame) {
-                earliest = Math.min(earliest, unknown.getValue().atMillis());
+            long knownRevision = item == null ? 0 : item.revision();
+            boolean isRemoved = item == null || item.removed();
+            boolean isSame = isRemoved && key.getValue().lastEntry().getValue().removed();
+            Map.Entry<Long, Write> missing = key.getValue().higherEntry(knownRevision);
+            if (missing != null && !isSame) {
+                earliest = Math.min(earliest, missing.getValue().atMillis());
             }
         }
         return earliest;
--- a/src/test/java/org/apricotgauge/directory/SimulatedSite.java
+++ b/src/test/java/org/apricotgauge/directory/SimulatedSite.java
@@ -17,16 +17,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A site of nodes, each with its own {@link DirectoryFeed}, and one platform, in virtual time.
+ * Simulates a site of nodes, each with its own {@link DirectoryFeed}, and one platform, in virtual
+ * time.
  *
  * <p>Messages take milliseconds; nodes, the platform and the paths between them can fail. After
- * each step it is checked that no node takes its view for younger than it is. Hops of requests are
- * left out: they could only make views younger.
+ * each step the simulation checks that no node underestimates the age of its view. Hops of requests
+ * are omitted, as they could only make views fresher.
  */
 final class SimulatedSite {
     static final PlatformTimes TIMES = new PlatformTimes(2_000, 1_500);
 
-    /** How long a calm while must be before a node's view is bounded again. */
+    /** Duration without faults after which the age of a node's view is limited again. */
     static final long STABLE_MILLIS = 3_000;
 
     static {
@@ -34,7 +35,7 @@
         ((Logger) LoggerFactory.getLogger(DirectoryFeed.class)).setLevel(Level.OFF);
     }
 
-    /** Of a registered target without a node beside it. */
+    /** The answer of a registered target's address without a node. */
     private static final CompletableFuture<PublishedPage> REFUSED =
             CompletableFuture.failedFuture(new IOException("connection refused"));
 
@@ -42,7 +43,7 @@
     private static final long PLATFORM_LATENCY_MILLIS = 2;
     private static final long NODE_LATENCY_MILLIS = 1;
 
-    /** The platform's values are base64 on the wire: four bytes for three. */
+    /** The platform sends values in base64: four bytes for three. */
     private static final int BASE64_CHARS_PER_3_BYTES = 4;
 
     private static final long UNBOUNDED = Long.MAX_VALUE;
@@ -72,7 +73,7 @@
         mNodes.forEach(SiteNode::start);
     }
 
-    /** Bounds what the link of each node carries either way; messages wait for each other. */
+    /** Limits the bandwidth of each node's link in both directions; messages are queued. */
     void setLinkBandwidth(long bytesPerMilli) {
         mLinkBytesPerMilli = bytesPerMilli;
     }
@@ -86,7 +87,7 @@
         mPlatform.publish(key, value);
     }
 
-    /** All open connections go silent for good; new ones work. */
+    /** Silently drops all open connections; new ones work. */
     void silenceConnections() {
         mPlatform.dropWatches(node -> true);
         mNodes.forEach(node -> node.mEpoch++);
@@ -101,7 +102,7 @@
         mEvents.add(new Event(now() + millis, mEventNumber++, action));
     }
 
-    /** Lets time pass; whatever a node believes falsely is thrown. */
+    /** Advances the time; throws if a node underestimates the age of its view. */
     void advance(long millis) {
         long untilMillis = now() + millis;
         while (!mEvents.isEmpty() && mEvents.peek().atMillis() <= untilMillis) {
@@ -116,19 +117,19 @@
         return mNodes;
     }
 
-    /** Returns the nodes that the platform answers, or waits to answer, now. */
+    /** Returns the nodes with pending watches at the platform. */
     List<SiteNode> readers() {
         return mPlatform.readers();
     }
 
-    /** Cuts what one node sends to another; the other way stays. */
+    /** Partitions the path from one node to another; the reverse path stays. */
     void partitionPath(SiteNode from, SiteNode to) {
         mPartitionedPaths.add(List.of(from, to));
         from.recordDisturbance();
         to.recordDisturbance();
     }
 
-    /** Mends all paths. */
+    /** Restores all paths. */
     void restorePaths() {
         mPartitionedPaths.clear();
         mNodes.forEach(SiteNode::recordDisturbance);
@@ -139,23 +140,27 @@
     }
 
     /**
-     * Returns what nodes in touch do not know though they should: changes that are older than
-     * targets serve on, less the last hop.
+     * Returns the connected nodes that lack a change for longer than leaving targets accept
+     * requests, less the last hop.
      */
     List<String> staleNodes() {
-        List<String> late = new ArrayList<>();
+        List<String> staleNodes = new ArrayList<>();
         for (SiteNode node : mNodes) {
             if (mPlatform.isStableFor(STABLE_MILLIS) && node.isConnected()) {
-                long knownAt = mPlatform.earliestMissingChangeMillis(node.mFeed.items());
-                if (now() - knownAt > TIMES.servesOnMillis() - TICK_MILLIS) {
-                    late.add(node.mGuard + " lacks a change of " + (now() - knownAt) + " ms ago");
+                long missingSinceMillis = mPlatform.earliestMissingChangeMillis(node.mFeed.items());
+                if (now() - missingSinceMillis > TIMES.servesOnMillis() - TICK_MILLIS) {
+                    staleNodes.add(
+                            node.mGuard
+                                    + " lacks a change of "
+                                    + (now() - missingSinceMillis)
+                                    + " ms ago");
                 }
             }
         }
-        return late;
+        return staleNodes;
     }
 
-    /** A node with the real feed. */
+    /** A node with a real feed. */
     final class SiteNode {
         private final String mDomain;
         private final Address mGuard;
@@ -193,7 +198,7 @@
             return mIsPaused;
         }
 
-        /** Starts the process anew; it knows nothing. */
+        /** Starts the process without any state. */
         void start() {
             mIsDown = false;
             mIsPaused = false;
@@ -206,7 +211,7 @@
             schedule(mRandom.nextLong(TICK_MILLIS), () -> tick(feed, epoch));
         }
 
-        /** Ends the process; its port refuses. */
+        /** Stops the process; its port refuses connections. */
         void kill() {
             mIsDown = true;
             mEpoch++;
@@ -214,31 +219,31 @@
             recordDisturbance();
         }
 
-        /** Suspends the VM: its clock of intervals stands still, the time of day goes on. */
+        /** Suspends the VM: its monotonic clock stops, its wall clock advances. */
         void pause() {
             mIsPaused = true;
             mPausedAtMillis = now();
             recordDisturbance();
         }
 
-        /** Goes on as if nothing had been. */
+        /** Resumes the VM and runs the deferred actions. */
         void resume() {
             mIsPaused = false;
             mSuspendedMillis += now() - mPausedAtMillis;
             recordDisturbance();
-            List<Runnable> held = List.copyOf(mDeferredActions);
+            List<Runnable> deferred = List.copyOf(mDeferredActions);
             mDeferredActions.clear();
-            held.forEach(Runnable::run);
+            deferred.forEach(Runnable::run);
         }
 
-        /** The platform refuses this node; or serves it again. */
+        /** Sets whether the platform refuses this node. */
         void setRefused(boolean refused) {
             mIsRefused = refused;
             recordDisturbance();
             mPlatform.recordDisturbance();
         }
 
-        /** Sets the time of day, ahead or back. */
+        /** Steps the wall clock forward or back. */
         void stepWallClock(long millis) {
             mWallClockOffsetMillis += millis;
             recordDisturbance();
@@ -287,26 +292,26 @@
             schedule(TICK_MILLIS, () -> tick(feed, epoch));
         }
 
-        // A claim that is too young would spread to all who hear it.
+        // An age that is too low would spread to all nodes that receive it.
         private void checkAge() {
             if (!mFeed.mayAct()) {
                 return;
             }
             long ageMillis = mFeed.view().ageMillis();
-            long lackedMillis = now() - mPlatform.earliestMissingChangeMillis(mFeed.items());
-            if (lackedMillis > ageMillis) {
+            long missingMillis = now() - mPlatform.earliestMissingChangeMillis(mFeed.items());
+            if (missingMillis > ageMillis) {
                 throw new AssertionError(
-                        "%s at %d: takes its view for %d ms old, lacks a change of %d ms ago"
-                                .formatted(mGuard, now(), ageMillis, lackedMillis));
+                        "%s at %d: assumes a view age of %d ms, lacks a change of %d ms ago"
+                                .formatted(mGuard, now(), ageMillis, missingMillis));
             }
         }
 
         private void onSiteChanged(SiteDirectory directory) {
             List<ReaderTree.Node> nodes = new ArrayList<>();
             List<Address> peers = new ArrayList<>();
-            for (Registration one : directory.registrations()) {
-                Address guard = new Address(one.target().host(), 80);
-                nodes.add(new ReaderTree.Node(guard, one.target().failureDomain()));
+            for (Registration registration : directory.registrations()) {
+                Address guard = new Address(registration.target().host(), 80);
+                nodes.add(new ReaderTree.Node(guard, registration.target().failureDomain()));
                 if (!guard.equals(mGuard)) {
                     peers.add(guard);
                 }
@@ -315,23 +320,23 @@
         }
 
         private CompletableFuture<PublishedPage> readPlatform(long after, long wait) {
-            CompletableFuture<PublishedPage> there = new CompletableFuture<>();
-            CompletableFuture<PublishedPage> back = new CompletableFuture<>();
+            CompletableFuture<PublishedPage> sent = new CompletableFuture<>();
+            CompletableFuture<PublishedPage> read = new CompletableFuture<>();
             long epoch = mEpoch;
-            schedule(PLATFORM_LATENCY_MILLIS, () -> mPlatform.read(this, after, wait, there));
-            there.whenComplete(
+            schedule(PLATFORM_LATENCY_MILLIS, () -> mPlatform.read(this, after, wait, sent));
+            sent.whenComplete(
                     (page, failure) ->
                             schedule(
                                     PLATFORM_LATENCY_MILLIS
                                             + reserveLinkMillis(platformPageBytes(page)),
-                                    () -> deliver(epoch, page, failure, back)));
+                                    () -> deliver(epoch, page, failure, read)));
             if (wait > 0) {
                 schedule(PLATFORM_LATENCY_MILLIS + wait, mPlatform::answerDue);
             }
-            return back;
+            return read;
         }
 
-        /** Puts bytes on the node's link; returns when the last of them has left it. */
+        /** Queues bytes on the node's link; returns the time until the last of them is sent. */
         private long reserveLinkMillis(long bytes) {
             mLinkFreeAtMillis = Math.max(now(), mLinkFreeAtMillis) + bytes / mLinkBytesPerMilli;
             return mLinkFreeAtMillis - now();
@@ -374,10 +379,10 @@
         }
 
         private CompletableFuture<PublishedPage> readNode(SiteNode other, long after, long wait) {
-            CompletableFuture<PublishedPage> back = new CompletableFuture<>();
+            CompletableFuture<PublishedPage> read = new CompletableFuture<>();
             long epoch = mEpoch;
             if (isPartitioned(this, other)) {
-                return back;
+                return read;
             }
             schedule(
                     NODE_LATENCY_MILLIS,
@@ -390,7 +395,7 @@
                                                     epoch,
                                                     null,
                                                     new IOException("connection refused"),
-                                                    back));
+                                                    read));
                             return;
                         }
                         long otherEpoch = other.mEpoch;
@@ -403,11 +408,11 @@
                                                 schedule(
                                                         NODE_LATENCY_MILLIS
                                                                 + transferMillis(other, page),
-                                                        () -> deliver(epoch, page, failure, back));
+                                                        () -> deliver(epoch, page, failure, read));
                                             }
                                         });
                     });
-            return back;
+            return read;
         }
 
         @Override
--- a/src/test/java/org/apricotgauge/directory/SiteDirectoryTest.java
+++ b/src/test/java/org/apricotgauge/directory/SiteDirectoryTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Targets that register, leave, vanish and come back; versions of the configuration. */
+/** Tests registrations that start, leave, end and return, and configuration versions. */
 class SiteDirectoryTest {
     private static final long KEEP_MILLIS = 1_000;
 
@@ -32,8 +32,8 @@
 
     @Test
     void targetIsRetainedBrieflyAfterRegistrationEnds() {
-        // Its entry ends without a word: it may be alive and only cut off from the platform.
-        // Dropped at once, all targets of a service would be lost with the platform's leases.
+        // Its registration ends without a leaving notice: it may be alive and only partitioned from
+        // the platform. Without retention all targets of a service would be lost with their leases.
         apply(registered("a", false), 0);
         apply(new SiteChange.Unregistered("a"), 100);
 
@@ -57,27 +57,27 @@
 
     @Test
     void newestTargetAtAddressReplacesEarlierOne() {
-        // After a loss of power a target's new run registers while the entry of the run before has
-        // not run out: requests meant for that one would be refused by the new one, for seconds.
+        // After a power loss a target's new process registers before the earlier registration has
+        // expired. Requests for the earlier process would be refused by the new one for seconds.
         apply(registered("before", false), 0);
         apply(registered("now", false), 10);
 
         assertThat(mDirectory.registrations())
-                .extracting(one -> one.target().id())
+                .extracting(registration -> registration.target().id())
                 .containsExactly("now");
     }
 
     @Test
     void restartUnderSameNameIsNewTarget() {
-        // A target crashes and starts again within its lease: its entry is written over, never
-        // ended. The new run holds nothing of what the fleet remembers of the old one, so that it
-        // is a target of its own, and the old one is gone.
+        // A target crashes and restarts within its lease, so its registration is overwritten and
+        // never ends. The new process has none of the state that the fleet stores for the old one,
+        // so it is a new target, and the old one is removed.
         apply(registered("a", new Target("a_1", "s", "vm", "here", "127.0.0.1", 1, 3)), 0);
 
         assertThat(apply(registered("a", new Target("a_2", "s", "vm", "here", "::1", 1, 3)), 10))
                 .isTrue();
         assertThat(mDirectory.registrations())
-                .extracting(one -> one.target().id())
+                .extracting(registration -> registration.target().id())
                 .containsExactly("a_2");
         apply(new SiteChange.Unregistered("a"), 20);
         mDirectory.expire(20 + KEEP_MILLIS);
@@ -86,8 +86,8 @@
 
     @Test
     void invalidRegistrationRemovesOnlyTargetOfItsName() {
-        // Somebody else writes over an entry. Left in force, the old one would get work long after
-        // its target has left, since nothing under that name tells of it any more.
+        // Another writer overwrites a registration. If the old one stayed in force, its target
+        // would receive work long after it has left, since no registration describes it any more.
         apply(registered("a", new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3)), 0);
         apply(registered("b", new Target("b", "s", "vm", "here", "127.0.0.1", 2, 3)), 0);
 
@@ -139,11 +139,11 @@
 
         apply(new SiteChange.Registered(new Registration("a", nextRun, false, 1, 0)), 30);
         assertThat(mDirectory.registrations())
-                .extracting(one -> one.target().id())
+                .extracting(registration -> registration.target().id())
                 .containsExactly("a_2");
     }
 
-    /** Guards against a target that keeps its place beyond its time by a write that came late. */
+    /** Guards against a target that is retained too long because of a delayed write. */
     @Test
     void olderWriteDoesNotExtendRetention() {
         Target target = new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3);
@@ -156,7 +156,7 @@
         assertThat(mDirectory.registrations()).isEmpty();
     }
 
-    /** Guards against a living target that stays out, since its registration had run out. */
+    /** Guards against a live target that stays removed because its registration had expired. */
     @Test
     void newerWriteRestoresEndedTarget() {
         Target target = new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3);
--- a/src/test/java/org/apricotgauge/directory/WaitingReadersTest.java
+++ b/src/test/java/org/apricotgauge/directory/WaitingReadersTest.java
@@ -97,8 +97,8 @@
 
     @Test
     void answersQueryAtTimeoutIfViewStaysStale() {
-        // The platform does not answer this node. Whoever reads from it has its own bound to keep,
-        // and must learn soon that it has to ask somebody else.
+        // The platform does not answer this node. A node that reads from it must keep its own age
+        // limit, and needs an answer in time to query another source.
         mView.mAgeMillis = 1_000;
         CompletableFuture<PublishedPage> answer = submit(5, 0, 0);
 
