--- a/src/main/java/org/apricotgauge/caller/AnswerDelivery.java
+++ b/src/main/java/org/apricotgauge/caller/AnswerDelivery.java
@@ -11,9 +11,9 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Gives a caller its one final answer: a target's, passed on or kept, or the fleet's own word.
+ * Writes the final answer of an exchange: a target's answer, streamed or buffered, or the outcome.
  *
- * <p>Used once for each exchange, which has decided by then; nothing here decides.
+ * <p>The exchange makes all decisions and uses its delivery once.
  */
 final class AnswerDelivery {
     private final EntryContext mContext;
@@ -24,36 +24,36 @@
 
     AnswerDelivery(
             EntryContext context,
-            ExchangeReporter report,
+            ExchangeReporter reporter,
             Request request,
             Response response,
             Callback callback) {
         mContext = context;
-        mReporter = report;
+        mReporter = reporter;
         mRequest = request;
         mResponse = response;
         mCallback = callback;
     }
 
-    /** Gives an answer that was read whole before. */
-    void writeBuffered(BufferedAnswer kept) {
-        mReporter.recordOutcome(new Outcome.Answered(kept.status()));
+    /** Writes an answer that has been read completely. */
+    void writeBuffered(BufferedAnswer buffered) {
+        mReporter.recordOutcome(new Outcome.Answered(buffered.status()));
         mContext.metrics().answered().inc();
-        kept.write(mResponse, mCallback);
+        buffered.write(mResponse, mCallback);
     }
 
-    /** Gives an answer while it comes. */
+    /** Streams an answer to the caller. */
     void forward(
             TargetAttempt attempt, org.eclipse.jetty.client.Response answer, Content.Source body) {
         ResponseForwarder.copyHead(answer, mResponse);
-        FailureTrackingSource watched = new FailureTrackingSource(body);
+        FailureTrackingSource watchedBody = new FailureTrackingSource(body);
         ResponseForwarder.copyBody(
                 answer,
-                watched,
+                watchedBody,
                 mResponse,
                 Callback.from(
                         () -> onForwarded(attempt),
-                        cause -> onForwardFailed(attempt, watched, cause)));
+                        cause -> onForwardFailed(attempt, watchedBody, cause)));
     }
 
     private void onForwarded(TargetAttempt attempt) {
@@ -73,13 +73,13 @@
             OutcomeCodec.write(
                     mResponse, mCallback, new Outcome.Unknown(UnknownReason.ANSWER_LOST));
         } else {
-            // The head is out: the server closes the connection without ending the message, so
-            // that the caller does not take half an answer for a whole one.
+            // The head has been sent. Closing the connection without ending the message keeps the
+            // caller from treating a truncated answer as complete.
             ResponseForwarder.abort(mRequest, mCallback, cause);
         }
     }
 
-    /** Tells what became of a request that has no answer. */
+    /** Writes the outcome of a request that has no answer. */
     void writeOutcome(Outcome outcome) {
         mReporter.recordOutcome(outcome);
         if (outcome instanceof Outcome.NotRun notRun) {
@@ -89,7 +89,7 @@
             mContext.metrics().unknown().inc();
             OutcomeCodec.write(mResponse, mCallback, unknown);
         } else {
-            throw new IllegalStateException("an answer must be passed on, not told: " + outcome);
+            throw new IllegalStateException("an answered outcome must be forwarded: " + outcome);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/caller/AttemptTracker.java
+++ b/src/main/java/org/apricotgauge/caller/AttemptTracker.java
@@ -9,8 +9,8 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * What an entry keeps of one attempt at a target: its place in the target's load, and its one
- * observation. Thread-safe.
+ * Tracks one attempt at a target: counts it in the target's load and reports its outcome once.
+ * Thread-safe.
  */
 final class AttemptTracker {
     private final EntryContext mContext;
@@ -24,7 +24,7 @@
         mCandidate = candidate;
     }
 
-    /** Counts the attempt as under way. */
+    /** Counts the attempt as in flight. */
     void begin() {
         mCandidate.load().begin();
         mSentNanos = mContext.ticker().nanos();
@@ -41,7 +41,7 @@
         return mEnded.get();
     }
 
-    /** Tells the observer how the attempt ended; later calls do nothing. */
+    /** Reports to the observer how the attempt ended; later calls do nothing. */
     void recordOutcome(ObservedOutcome outcome) {
         if (!mOutcomeRecorded.compareAndSet(false, true)) {
             return;
@@ -50,7 +50,7 @@
         mContext.observer().onAttemptEnded(mCandidate.target(), outcome, micros);
     }
 
-    /** Returns what the status of a target's answer says of the target. */
+    /** Returns the outcome to record for the status of a target's answer. */
     static ObservedOutcome outcomeOf(int status) {
         if (status == HttpStatus.SERVICE_UNAVAILABLE_503) {
             return ObservedOutcome.SHED;
@@ -60,10 +60,10 @@
                 : ObservedOutcome.SUCCESS;
     }
 
-    /** Ends an exchange that may not have begun. */
+    /** Aborts an exchange; null if it has not begun. */
     static void abort(UpstreamExchange upstream) {
         if (upstream != null) {
-            upstream.abort(new TimeoutException("attempt given up"));
+            upstream.abort(new TimeoutException("attempt abandoned"));
         }
     }
 }
--- a/src/main/java/org/apricotgauge/caller/BufferedAnswer.java
+++ b/src/main/java/org/apricotgauge/caller/BufferedAnswer.java
@@ -10,13 +10,13 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * A target's failed answer, held while another target is tried.
+ * A target's failed answer, buffered while another target is tried.
  *
- * <p>Should no other take the request, its caller gets the answer that there was, with the target's
- * mark, rather than one of the fleet's own that tells less.
+ * <p>If no other target answers, the caller gets this answer, with the headers of its target,
+ * rather than the fleet's own, which contains less.
  */
 final class BufferedAnswer {
-    /** Failed answers are short; a longer one is not kept. */
+    /** Failed answers are short; a longer one is not buffered. */
     private static final int MAX_BODY_BYTES = 16_384;
 
     private final org.eclipse.jetty.client.Response mHead;
@@ -27,7 +27,7 @@
         mBody = body;
     }
 
-    /** Reads the answer whole; fails if it breaks off or is too long to be kept. */
+    /** Reads the complete answer; fails if it is truncated or too long to be buffered. */
     static CompletableFuture<BufferedAnswer> read(
             org.eclipse.jetty.client.Response head, Content.Source body) {
         return Bodies.readAll(body, MAX_BODY_BYTES)
@@ -38,7 +38,7 @@
         return mHead.getStatus();
     }
 
-    /** Writes it as the final answer. */
+    /** Writes this answer as the final one. */
     void write(Response response, Callback callback) {
         ResponseForwarder.copyHead(mHead, response);
         response.getHeaders().put(HttpHeader.CONTENT_LENGTH, mBody.length);
--- a/src/main/java/org/apricotgauge/caller/CallerExchange.java
+++ b/src/main/java/org/apricotgauge/caller/CallerExchange.java
@@ -25,13 +25,13 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * One caller's request from its head to its one final answer, over as many attempts as are safe.
+ * Handles one caller's request up to its final answer, with as many attempts as are safe.
  *
- * <p>At most one attempt is under way at a time. The deadline ends the exchange at once, whatever
- * the attempt is doing. One lock for each exchange, held for a few steps and never during I/O.
+ * <p>At most one attempt is in flight at a time. The deadline ends the exchange at once, whatever
+ * the attempt is doing. Each exchange has one lock, which is held briefly and never during I/O.
  */
 final class CallerExchange {
-    /** Bodies up to this size can be sent again; larger ones stream and go out once. */
+    /** Bodies up to this size can be resent; larger ones are streamed and sent once. */
     static final int MAX_REPLAYABLE_BYTES = 65_536;
 
     private static final long NO_TARGET_RETRY_AFTER_MILLIS = 1_000;
@@ -65,10 +65,10 @@
     CallerExchange(
             EntryContext context,
             ServiceTable table,
-            Supplier<ServiceTable> present,
+            Supplier<ServiceTable> currentTable,
             long version,
             RetryBudget budget,
-            CallerRequest asked,
+            CallerRequest callerRequest,
             Request request,
             Response response,
             Callback callback) {
@@ -79,27 +79,27 @@
                         context.dialect(), request.getHeaders(), context.observer()::isRunning);
         mReporter =
                 new ExchangeReporter(
-                        context, asked, table.service().id(), version, request, mParentId);
+                        context, callerRequest, table.service().id(), version, request, mParentId);
         mBudget = budget;
-        mCallerRequest = asked;
+        mCallerRequest = callerRequest;
         mRequest = request;
         mCallback = callback;
         mDelivery = new AnswerDelivery(context, mReporter, request, response, callback);
-        mSelector = new TargetSelector(context, present, asked.idempotent());
+        mSelector = new TargetSelector(context, currentTable, callerRequest.idempotent());
         mBody = new ReplayableBody(request, MAX_REPLAYABLE_BYTES);
         mQuarantine =
                 new QuarantineCheck(
                         context.quarantine(),
-                        () -> Fingerprints.headHash(request, asked.memberId()),
+                        () -> Fingerprints.headHash(request, callerRequest.memberId()),
                         Fingerprints.hasBody(request),
                         mBody);
-        mDeadlineMillis = context.ticker().millis() + asked.timeoutMillis();
-        mProgress = SubmissionProgress.of(asked.idempotent(), false);
+        mDeadlineMillis = context.ticker().millis() + callerRequest.timeoutMillis();
+        mProgress = SubmissionProgress.of(callerRequest.idempotent(), false);
     }
 
-    /** Starts at the node that remembers the request's key, and tries no other. */
-    void startAtOwner(Candidate home) {
-        mOwner = home;
+    /** Starts at the owner of the request's key, and tries no other node. */
+    void startAtOwner(Candidate owner) {
+        mOwner = owner;
         mProgress = SubmissionProgress.of(mCallerRequest.idempotent(), true);
         start();
     }
@@ -146,48 +146,45 @@
         return mQuarantine;
     }
 
-    /** Returns the time left to the deadline, in milliseconds; not positive once it has passed. */
+    /** Returns the milliseconds left to the deadline; not positive once it has passed. */
     long remainingMillis() {
         return mDeadlineMillis - mContext.ticker().millis();
     }
 
-    /**
-     * Returns the time left in which an answer is of full use to the caller, in milliseconds; not
-     * positive once it has passed.
-     */
+    /** Returns the milliseconds left to the soft deadline; not positive once it has passed. */
     long softDeadlineRemainingMillis() {
         Long targetMillis = mCallerRequest.route().targetLatencyMillis();
         long passedMillis = mCallerRequest.timeoutMillis() - remainingMillis();
         return targetMillis == null ? remainingMillis() : targetMillis - passedMillis;
     }
 
-    /** Returns the id of the request that this one is a call for; nothing for a caller's. */
+    /** Returns the id of the request that this nested call is for; empty for a caller's. */
     Optional<String> parentId() {
         return mParentId;
     }
 
-    /** Returns whether a target was sent the request before. */
+    /** Returns whether an earlier attempt reached a target. */
     boolean isRetry() {
         synchronized (this) {
             return mReachedTarget;
         }
     }
 
-    /** Notes that the guard of the present attempt has paid for the next run. */
+    /** Records that the guard of the current attempt has charged the next run to its allowance. */
     void onRetryPaid(TargetAttempt attempt) {
         synchronized (this) {
             mNextRetryPaid |= attempt == mCurrentAttempt;
         }
     }
 
-    /** Returns whether the present run has been paid for by the guard of the one before. */
+    /** Returns whether the guard of the previous run has charged this one to its allowance. */
     boolean isRetryPaid() {
         synchronized (this) {
             return mRetryPaid;
         }
     }
 
-    // A run that was paid for is over once a target was reached; until then the pay is good.
+    // A payment covers all attempts up to the first that reaches a target.
     private void updateRetryPaid(boolean reached) {
         if (reached) {
             mRetryPaid = mNextRetryPaid;
@@ -195,7 +192,7 @@
         }
     }
 
-    /** Returns how much of a risk the present attempt may run. */
+    /** Returns the risk tolerance of the current attempt. */
     HealthGate.RiskTolerance riskTolerance() {
         synchronized (this) {
             return mSelector.isLastResort()
@@ -204,7 +201,7 @@
         }
     }
 
-    /** Returns whether the present attempt may wait for a slot. */
+    /** Returns whether the current attempt may wait for a slot. */
     QueueingPolicy queueingPolicy() {
         return mSelector.queueingPolicy();
     }
@@ -218,20 +215,18 @@
     }
 
     /**
-     * Returns the address of the next attempt at the key's home.
-     *
-     * <p>Once one may have run there, the others keep its run and its latest start: addressed anew
-     * they could reach a home that no longer remembers the key.
+     * Returns the next attempt at the key's owner. Once one may have run, it keeps incarnation and
+     * latest start: with new ones it could reach an owner that no longer remembers the key.
      */
-    Attempt newOwnerAttempt(GuardClockEstimate home, long untilMillis) {
+    Attempt newOwnerAttempt(GuardClockEstimate ownerClock, long deadlineMillis) {
         synchronized (this) {
             mOwnerAttempt =
                     mProgress.mayHaveRun()
                             ? mOwnerAttempt.withId(mContext.attemptIds().next())
-                            : home.newAttempt(
+                            : ownerClock.newAttempt(
                                     mContext.attemptIds().next(),
                                     mContext.ticker().millis(),
-                                    untilMillis);
+                                    deadlineMillis);
             return mOwnerAttempt;
         }
     }
@@ -256,10 +251,10 @@
         }
         Candidate candidate = choice.get();
         mReporter.recordSend(candidate, riskTolerance().name());
-        boolean direct =
+        boolean sendDirect =
                 mContext.targetAccess() == EntryOptions.TargetAccess.GUARD_OR_DIRECT
                         && !mContext.hasReachableGuard(candidate);
-        send(direct ? new DirectAttempt(this, candidate) : new GuardedAttempt(this, candidate));
+        send(sendDirect ? new DirectAttempt(this, candidate) : new GuardedAttempt(this, candidate));
     }
 
     private void send(TargetAttempt attempt) {
@@ -274,11 +269,8 @@
     }
 
     /**
-     * Asked by an attempt just before its first byte is written; false means to write nothing.
-     *
-     * <p>The deadline may pass between the decision to send and the first byte. Under one lock
-     * either the caller is told "not run" and no byte follows, or the byte comes first and the
-     * caller is told "unknown".
+     * Called before an attempt's first byte; false means to write nothing. The lock orders it with
+     * the deadline: either the outcome is "not run" and no byte follows, or it is "unknown".
      */
     boolean tryBegin(TargetAttempt attempt) {
         synchronized (this) {
@@ -310,8 +302,8 @@
         }
         if (progress.mayHaveRun()) {
             finish(new Outcome.Unknown(UnknownReason.FORGOTTEN));
-        } else if (progress.lastOutcome() instanceof Outcome.NotRun refusal) {
-            finish(refusal);
+        } else if (progress.lastOutcome() instanceof Outcome.NotRun notRun) {
+            finish(notRun);
         } else {
             finish(
                     new Outcome.NotRun(
@@ -320,9 +312,9 @@
     }
 
     /**
-     * Takes the end of an attempt at the older system that brought no answer.
+     * Handles an attempt at the predecessor that ended without an answer.
      *
-     * @param notSent whether no byte of it was written
+     * @param notSent whether no byte of the request was written
      */
     void onPredecessorFailed(TargetAttempt attempt, boolean notSent) {
         boolean fleetServes = notSent && mCallerRequest.idempotent() && mBody.canReplay();
@@ -339,8 +331,8 @@
             startNextAttempt();
             return;
         }
-        // The fleet must not take a booking that the older system may have run for an earlier
-        // submission: it would be booked twice. Not run is proven for this submission only.
+        // The predecessor may have run a booking for an earlier submission; run by the fleet, it
+        // would be booked twice. "Not run" is proven for this submission only.
         finish(
                 notSent
                         ? new Outcome.NotRun(
@@ -348,7 +340,7 @@
                         : new Outcome.Unknown(UnknownReason.NO_GUARD));
     }
 
-    /** Takes the end of an attempt that brought no answer of the target. */
+    /** Handles an attempt that ended without an answer of the target. */
     void onAttemptEnded(TargetAttempt attempt, Outcome outcome) {
         RetryDecision decision;
         synchronized (this) {
@@ -378,8 +370,8 @@
 
     private RetryDecision decide() {
         boolean canReplay = mBody.canReplay();
-        // What reached no target cost none; charging it to the budget would turn the loss of one VM
-        // into refusals while the other targets idle.
+        // An attempt that reached no target caused no load. If it were charged to the budget, the
+        // loss of one VM would cause refusals while the other targets idle.
         boolean free = !reachedTarget(mProgress.lastOutcome());
         return mContext.retryPolicy()
                 .decide(
@@ -389,29 +381,29 @@
                         () -> canReplay && (free || mBudget.tryRetry(mContext.ticker().millis())));
     }
 
-    /** Takes the head of the target's answer, and either passes it on or tries another target. */
+    /** Handles the head of a target's answer: forwards the answer or tries another target. */
     void onAnswer(
             TargetAttempt attempt, org.eclipse.jetty.client.Response answer, Content.Source body) {
         Outcome.Answered outcome = new Outcome.Answered(answer.getStatus());
-        boolean again;
+        boolean retry;
         synchronized (this) {
             if (mEnded || attempt != mCurrentAttempt) {
-                body.fail(new IllegalStateException("the caller has its answer already"));
+                body.fail(new IllegalStateException("the exchange has ended already"));
                 return;
             }
             mProgress = mProgress.after(outcome);
             mReporter.recordStep(outcome.toString());
-            // What the older system serves only it retries; with both, retries would multiply.
-            again = !mUsesPredecessor && !(decide() instanceof RetryDecision.Finish);
+            // Only the predecessor retries what it serves; with both, retries would multiply.
+            retry = !mUsesPredecessor && !(decide() instanceof RetryDecision.Finish);
             mReachedTarget = true;
             updateRetryPaid(true);
-            if (again) {
+            if (retry) {
                 mCurrentAttempt = null;
             } else {
                 mEnded = true;
             }
         }
-        if (again) {
+        if (retry) {
             attempt.end();
             mContext.metrics().retries().inc();
             bufferAnswer(answer, body);
@@ -423,12 +415,12 @@
     private void bufferAnswer(org.eclipse.jetty.client.Response answer, Content.Source body) {
         BufferedAnswer.read(answer, body)
                 .whenComplete(
-                        (kept, failure) -> {
+                        (buffered, failure) -> {
                             if (failure != null) {
                                 mReporter.recordStep("answer not kept: " + failure.getMessage());
                             }
                             synchronized (this) {
-                                mBufferedAnswer = kept;
+                                mBufferedAnswer = buffered;
                             }
                             startNextAttempt();
                         });
@@ -476,7 +468,7 @@
         mCallback.failed(cause);
     }
 
-    /** Tells the caller the outcome, unless it has its answer; before a start, nothing is sent. */
+    /** Writes the outcome or a buffered answer, unless ended; may be called instead of a start. */
     void finish(Outcome outcome) {
         synchronized (this) {
             if (mEnded) {
@@ -486,12 +478,12 @@
         }
         cancelDeadline();
         DisconnectDetectingEndPoint.unwatch(mRequest);
-        BufferedAnswer kept;
+        BufferedAnswer buffered;
         synchronized (this) {
-            kept = mBufferedAnswer;
+            buffered = mBufferedAnswer;
         }
-        if (kept != null) {
-            mDelivery.writeBuffered(kept);
+        if (buffered != null) {
+            mDelivery.writeBuffered(buffered);
         } else {
             mDelivery.writeOutcome(outcome);
         }
--- a/src/main/java/org/apricotgauge/caller/CallerRequest.java
+++ b/src/main/java/org/apricotgauge/caller/CallerRequest.java
@@ -10,14 +10,14 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * What a caller asked for, read once from the head of the request.
+ * The parameters of a caller's request, parsed once from its head.
  *
- * @param route the route it falls under
- * @param requester who asks
- * @param priority how long its caller can wait
- * @param timeoutMillis time it may take in all, in milliseconds
+ * @param route the route that it matches
+ * @param requester the member that sent it, or an anonymous one
+ * @param priority its priority, from the requester or the route
+ * @param timeoutMillis total time allowed, in milliseconds
  * @param idempotent whether it may run more than once
- * @param key its idempotency key, if it has one
+ * @param key its Idempotency-Key, if it has one
  */
 record CallerRequest(
         Route route,
@@ -28,7 +28,7 @@
         Optional<IdempotencyKey> key) {
 
     /**
-     * Reads the head.
+     * Parses the head of a request.
      *
      * @throws IllegalArgumentException naming the header that is at fault
      */
@@ -38,13 +38,14 @@
             Route route,
             Requester requester,
             SiteDialect dialect) {
-        IdempotentHeader repeat = IdempotentHeader.parse(headers.get(IdempotentHeader.HEADER));
+        IdempotentHeader idempotentHeader =
+                IdempotentHeader.parse(headers.get(IdempotentHeader.HEADER));
         return new CallerRequest(
                 route,
                 requester,
                 requester.priorityOr(route.priority()),
                 timeoutOf(headers, route, dialect),
-                RetryPolicy.isIdempotent(method, route.repeatability(), repeat),
+                RetryPolicy.isIdempotent(method, route.repeatability(), idempotentHeader),
                 keyOf(headers, route, requester.memberId()));
     }
 
--- a/src/main/java/org/apricotgauge/caller/CapturingResponse.java
+++ b/src/main/java/org/apricotgauge/caller/CapturingResponse.java
@@ -13,7 +13,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** A response that keeps a copy of a small body while it is written. */
+/** A response that captures a copy of a small body while it is written. */
 final class CapturingResponse extends Response.Wrapper {
     private static final long HEARTBEAT_MILLIS = 1_000;
 
@@ -25,17 +25,17 @@
     private Scheduler.Task mHeartbeatTask;
     private boolean mHeartbeatStopped;
 
-    CapturingResponse(Request request, Response response, int limitBytes, Scheduler scheduler) {
+    CapturingResponse(Request request, Response response, int maxBodyBytes, Scheduler scheduler) {
         super(request, response);
-        mMaxBodyBytes = limitBytes;
+        mMaxBodyBytes = maxBodyBytes;
         mScheduler = scheduler;
     }
 
     /**
-     * Says that the request is here, now and every second until the answer begins.
+     * Sends an interim response now and every second until the answer begins.
      *
-     * <p>Said once only, a booking of some seconds looks to the entry like a dead path; the entry
-     * asks again and its caller is told 409 for a booking that is well under way.
+     * <p>With a single interim response, the entry would take a booking of some seconds for a dead
+     * path and retry it; its caller would get a 409 for a booking that is still running.
      */
     synchronized CompletableFuture<Void> sendHeartbeat() {
         if (mHeartbeatStopped) {
@@ -60,7 +60,7 @@
     @Override
     public void write(boolean last, ByteBuffer content, Callback callback) {
         capture(content);
-        // Two writes at once would clash.
+        // A response permits only one write at a time.
         stopHeartbeat().whenComplete((written, failure) -> super.write(last, content, callback));
     }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Returns what was written; without its body if that was too long. */
+    /** Returns what was written, without the body if it exceeds the limit. */
     synchronized StoredAnswer storedAnswer() {
         if (mBodyBytes > mMaxBodyBytes) {
             return StoredAnswer.withoutBody(getStatus(), mBodyBytes);
--- a/src/main/java/org/apricotgauge/caller/DirectAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/DirectAttempt.java
@@ -16,9 +16,9 @@
 import org.eclipse.jetty.io.Content;
 
 /**
- * An attempt straight at a target that has no node beside it.
+ * An attempt sent directly to a target that has no guard.
  *
- * <p>Nobody can fence it: once a byte was written, the request may have run.
+ * <p>It can't be fenced: once a byte was written, the request may have run.
  */
 final class DirectAttempt implements TargetAttempt, UpstreamExchange.Listener {
     private final CallerExchange mExchange;
@@ -46,26 +46,26 @@
             mExchange.onAttemptEnded(this, new Outcome.NotRun(NotRunReason.BUSY, 0));
             return;
         }
-        org.eclipse.jetty.server.Request from = mExchange.request();
-        Request to =
+        org.eclipse.jetty.server.Request callerRequest = mExchange.request();
+        Request upstreamRequest =
                 mContext.directClient()
                         .newRequest(mCandidate.target().host(), mCandidate.target().port())
-                        .method(from.getMethod())
-                        .path(from.getHttpURI().getPathQuery());
-        long leftMillis = Math.max(1, mExchange.remainingMillis());
-        to.headers(
+                        .method(callerRequest.getMethod())
+                        .path(callerRequest.getHttpURI().getPathQuery());
+        long remainingMillis = Math.max(1, mExchange.remainingMillis());
+        upstreamRequest.headers(
                 headers -> {
-                    ForwardedHeaders.copyRequest(from.getHeaders(), headers);
+                    ForwardedHeaders.copyRequest(callerRequest.getHeaders(), headers);
                     mExchange.callerRequest().requester().removeCredentials(headers);
                     mContext.dialect()
                             .addTargetHeaders(
                                     headers,
                                     mCandidate.target().id(),
-                                    leftMillis,
+                                    remainingMillis,
                                     mExchange.callerRequest().requester().forwardedMemberId());
                 });
-        to.body(mExchange.quarantine().hashedBody());
-        mUpstream = UpstreamExchange.send(to, this);
+        upstreamRequest.body(mExchange.quarantine().hashedBody());
+        mUpstream = UpstreamExchange.send(upstreamRequest, this);
     }
 
     @Override
@@ -95,9 +95,9 @@
         end();
         if (mQuarantined) {
             mTracker.recordOutcome(ObservedOutcome.CANCELLED);
-            long heldMillis = mExchange.quarantine().remainingQuarantineMillis();
+            long quarantineMillis = mExchange.quarantine().remainingQuarantineMillis();
             mExchange.onAttemptEnded(
-                    this, new Outcome.NotRun(NotRunReason.QUARANTINED, heldMillis));
+                    this, new Outcome.NotRun(NotRunReason.QUARANTINED, quarantineMillis));
             return;
         }
         mTracker.recordOutcome(ObservedOutcome.PATH_FAULT);
@@ -112,7 +112,7 @@
         mContext.exitDetector()
                 .reportBrokenRun(mCandidate.target(), brokenRun())
                 .whenComplete(
-                        (told, ignored) ->
+                        (ended, ignored) ->
                                 mExchange.onAttemptEnded(
                                         this, new Outcome.Unknown(UnknownReason.NO_GUARD)));
     }
--- a/src/main/java/org/apricotgauge/caller/EntryContext.java
+++ b/src/main/java/org/apricotgauge/caller/EntryContext.java
@@ -12,23 +12,23 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * What all requests of one entry share.
+ * Dependencies that all requests of one entry share.
  *
- * @param guards talks to the guards of other VMs
- * @param directClient sends to targets that have no node beside them
- * @param attemptIds names attempts
- * @param retryPolicy whether a request is sent again
- * @param scheduler runs timeouts
+ * @param guards client for guards
+ * @param directClient client for targets without a guard, and for the predecessor
+ * @param attemptIds generator of attempt ids
+ * @param retryPolicy decides on retries
+ * @param scheduler scheduler of timeouts
  * @param ticker the entry's clock
- * @param observer hears how attempts ended
- * @param probes which ejected targets to try
- * @param lagMeter how late this process runs
- * @param dialect headers of the site's callers and targets
- * @param targetAccess which ways lead to a target
- * @param exitDetector tells which targets ended while requests from here ran
- * @param quarantine which requests are kept from targets
- * @param requestLog tells how requests ended
- * @param metrics counters
+ * @param observer receives how attempts and requests ended
+ * @param probes source of ejected targets to probe
+ * @param lagMeter scheduling lag of this process
+ * @param dialect header conventions of the site's callers and targets
+ * @param targetAccess how targets can be reached
+ * @param exitDetector detects targets that ended while they ran requests of this entry
+ * @param quarantine table of quarantined requests
+ * @param requestLog log of ended requests
+ * @param metrics counters of the entry
  */
 record EntryContext(
         GuardClient guards,
@@ -47,9 +47,7 @@
         RequestLog requestLog,
         EntryMetrics metrics) {
 
-    /**
-     * Returns whether there is a guard beside the target that did not refuse a connection just now.
-     */
+    /** Returns whether the target has a guard to which no connection has failed recently. */
     boolean hasReachableGuard(Candidate candidate) {
         return candidate.guard() != null && !guards.isUnavailable(candidate.guard());
     }
--- a/src/main/java/org/apricotgauge/caller/EntryHandler.java
+++ b/src/main/java/org/apricotgauge/caller/EntryHandler.java
@@ -38,13 +38,16 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Serves callers: finds the route, checks the head, and starts an exchange.
+ * Handles callers' requests: finds the route, checks the head, and starts an exchange.
  *
- * <p>Each request reads the routing table once and keeps route, service and version to its end; the
- * targets of the service it looks up anew for each attempt.
+ * <p>Each request reads the routing table once and keeps its route, service and version to the end.
+ * The targets of the service are looked up again for each attempt.
  */
 public final class EntryHandler extends Handler.Abstract.NonBlocking {
-    /** A pause is over, and a caller of a stopping node is sent elsewhere, in about a second. */
+    /**
+     * Within about a second, a node confirms its state after a pause, and callers of a stopping
+     * node are directed to another.
+     */
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Supplier<RoutingTable> mRoutingTable;
@@ -61,45 +64,45 @@
     /**
      * Creates the handler.
      *
-     * @param table present routing table
-     * @param stopping whether the node is stopping, so that connections shall end
-     * @param mayAct whether what this node knows is confirmed; false after it was paused
-     * @param guards talks to guards
-     * @param direct sends to targets without a node
-     * @param ids names attempts
-     * @param scheduler runs timeouts
+     * @param routingTable supplies the current routing table
+     * @param stopping whether the node is stopping, so that connections are closed
+     * @param stateConfirmed whether the state of this node is confirmed; false after a pause
+     * @param guards client for guards
+     * @param directClient client for targets without a guard, and for the predecessor
+     * @param attemptIds generator of attempt ids
+     * @param scheduler scheduler of timeouts
      * @param ticker the entry's clock
-     * @param observer hears how attempts ended
-     * @param probes which ejected targets to try
-     * @param quarantine which requests are kept from targets
-     * @param limits which requests members may have run
-     * @param options what differs between sites
-     * @param registry takes the counters
+     * @param observer receives how attempts and requests ended
+     * @param probes source of ejected targets to probe
+     * @param quarantine table of quarantined requests
+     * @param rateLimiter enforces the rate limits of members
+     * @param options options of the site
+     * @param registry registry of the counters
      */
     public EntryHandler(
-            Supplier<RoutingTable> table,
+            Supplier<RoutingTable> routingTable,
             BooleanSupplier stopping,
-            BooleanSupplier mayAct,
+            BooleanSupplier stateConfirmed,
             GuardClient guards,
-            HttpClient direct,
-            AttemptIdGenerator ids,
+            HttpClient directClient,
+            AttemptIdGenerator attemptIds,
             Scheduler scheduler,
             Ticker ticker,
             EntryObserver observer,
             ProbeSource probes,
             QuarantineTable quarantine,
-            MemberRateLimiter limits,
+            MemberRateLimiter rateLimiter,
             EntryOptions options,
             MetricRegistry registry) {
-        mRoutingTable = table;
-        mRateLimiter = limits;
+        mRoutingTable = routingTable;
+        mRateLimiter = rateLimiter;
         mStopping = stopping;
-        mStateConfirmed = mayAct;
+        mStateConfirmed = stateConfirmed;
         mContext =
                 new EntryContext(
                         guards,
-                        direct,
-                        ids,
+                        directClient,
+                        attemptIds,
                         options.retryPolicy(),
                         scheduler,
                         ticker,
@@ -109,7 +112,7 @@
                         options.dialect(),
                         options.targetAccess(),
                         ExitDetector.of(
-                                direct,
+                                directClient,
                                 scheduler,
                                 target -> mRoutingTable.get().acceptsRequests(target),
                                 observer::onTargetEnded),
@@ -121,12 +124,12 @@
         mRetryBudgets = new RetryBudgetRegistry(options.entryRetryAllowance(), ticker.millis());
     }
 
-    /** Starts what runs beside the requests; the scheduler must have been started. */
+    /** Starts the background tasks; the scheduler must have been started. */
     public void startBackgroundTasks() {
         mContext.lagMeter().start();
     }
 
-    /** Refuses requests that come from now on, as not run; those that are here go on. */
+    /** Answers new requests with "not run" from now on; those in flight continue. */
     public void drain() {
         mDraining = true;
     }
@@ -136,7 +139,7 @@
         mContext.metrics().badRequests().inc();
     }
 
-    /** Returns how many requests have not had their final answer. */
+    /** Returns the number of requests without a final answer. */
     public int inFlight() {
         return mInFlight.get();
     }
@@ -144,28 +147,33 @@
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
         mContext.metrics().requests().inc();
-        Callback counted = countInFlight(callback);
+        Callback countingCallback = countInFlight(callback);
         if (mStopping.getAsBoolean()) {
             response.getHeaders().put(HttpHeader.CONNECTION, "close");
         }
         if (hasLooped(request)) {
-            refuse(response, counted, HttpStatus.LOOP_DETECTED_508, "request came here before");
+            refuse(
+                    response,
+                    countingCallback,
+                    HttpStatus.LOOP_DETECTED_508,
+                    "request came here before");
             return true;
         }
-        Optional<NotRunReason> unable = refusalReason();
-        if (unable.isPresent()) {
-            writeNotRun(response, counted, unable.get());
+        Optional<NotRunReason> refusalReason = refusalReason();
+        if (refusalReason.isPresent()) {
+            writeNotRun(response, countingCallback, refusalReason.get());
             return true;
         }
-        RoutedRequest routed = route(request, response, counted, mRequesterResolver::resolveCaller);
+        RoutedRequest routed =
+                route(request, response, countingCallback, mRequesterResolver::resolveCaller);
         if (routed == null) {
             return true;
         }
-        Optional<Candidate> home = ownerOf(routed);
-        if (home.isPresent() && home.get().guard() == null) {
-            // Run without the memory of its home, the key could run once more through an entry
-            // that sees the home.
-            writeNotRun(response, counted, NotRunReason.KEY_HOME_UNREACHABLE);
+        Optional<Candidate> owner = ownerOf(routed);
+        if (owner.isPresent() && owner.get().guard() == null) {
+            // If the key ran without its owner's ledger, it could run again through an entry that
+            // reaches the owner.
+            writeNotRun(response, countingCallback, NotRunReason.KEY_HOME_UNREACHABLE);
             return true;
         }
         CallerExchange exchange =
@@ -178,27 +186,28 @@
                         routed.callerRequest(),
                         request,
                         response,
-                        counted);
+                        countingCallback);
         startWithinRateLimit(
                 exchange,
                 routed.callerRequest().requester(),
-                () -> home.ifPresentOrElse(exchange::startAtOwner, exchange::start));
+                () -> owner.ifPresentOrElse(exchange::startAtOwner, exchange::start));
         return true;
     }
 
     private void startWithinRateLimit(
             CallerExchange exchange, Requester requester, Runnable start) {
-        Optional<Member> limited = requester.member().filter(member -> member.limit() != null);
-        if (limited.isEmpty()) {
+        Optional<Member> limitedMember =
+                requester.member().filter(member -> member.limit() != null);
+        if (limitedMember.isEmpty()) {
             start.run();
             return;
         }
         mRateLimiter.acquire(
-                limited.get(),
-                verdict -> {
-                    if (verdict instanceof RateLimitDecision.Granted) {
+                limitedMember.get(),
+                decision -> {
+                    if (decision instanceof RateLimitDecision.Granted) {
                         start.run();
-                    } else if (verdict instanceof RateLimitDecision.Refused refused) {
+                    } else if (decision instanceof RateLimitDecision.Refused refused) {
                         refuse(exchange, NotRunReason.OVER_LIMIT, refused.retryAfterMillis());
                     } else {
                         refuse(exchange, NotRunReason.LIMIT_UNKNOWN, RETRY_AFTER_MILLIS);
@@ -210,15 +219,15 @@
         exchange.finish(new Outcome.NotRun(reason, retryMillis));
     }
 
-    /** Returns why this node takes no request at all now, if so. */
+    /** Returns why this node accepts no requests at present; empty if it does. */
     private Optional<NotRunReason> refusalReason() {
-        // What came now could not end before the stop does; its caller is told to come back, by
-        // when it has been sent elsewhere.
+        // A new request could not end before the stop does. By the time its caller retries, it is
+        // directed to another node.
         if (mDraining) {
             return Optional.of(NotRunReason.LEAVING);
         }
-        // A process that was paused would send work by what it knew before: to targets that have
-        // left, or by a version that is long out of force. It is confirmed in about a second.
+        // A process that was paused would route with stale state: to targets that have left, or
+        // with a version that is no longer in force. Confirming it takes about a second.
         return mStateConfirmed.getAsBoolean()
                 ? Optional.empty()
                 : Optional.of(NotRunReason.STATE_UNCONFIRMED);
@@ -230,15 +239,20 @@
         OutcomeCodec.write(response, callback, outcome, mContext.dialect());
     }
 
-    /** Serves a request that another node sent here because this one remembers its key. */
+    /** Handles a request that another node forwarded because this node owns its key. */
     public boolean handleKeyed(Request request, Response response, Callback callback) {
-        Callback counted = countInFlight(callback);
-        RoutedRequest routed = route(request, response, counted, RequesterResolver::resolveHop);
+        Callback countingCallback = countInFlight(callback);
+        RoutedRequest routed =
+                route(request, response, countingCallback, RequesterResolver::resolveHop);
         if (routed == null) {
             return true;
         }
         if (routed.callerRequest().key().isEmpty()) {
-            refuse(response, counted, HttpStatus.BAD_REQUEST_400, "no " + IdempotencyKey.HEADER);
+            refuse(
+                    response,
+                    countingCallback,
+                    HttpStatus.BAD_REQUEST_400,
+                    "no " + IdempotencyKey.HEADER);
             return true;
         }
         mKeyedRequestHandler.handle(
@@ -247,8 +261,8 @@
                 PredecessorShare.covers(routed.table().service(), routed.callerRequest(), request),
                 request,
                 response,
-                counted,
-                (keeper, ended) ->
+                countingCallback,
+                (capturingResponse, endCallback) ->
                         new CallerExchange(
                                         mContext,
                                         routed.table(),
@@ -257,21 +271,21 @@
                                         mRetryBudgets.of(routed.table().service(), 1),
                                         routed.callerRequest(),
                                         request,
-                                        keeper,
-                                        ended)
+                                        capturingResponse,
+                                        endCallback)
                                 .start());
         return true;
     }
 
-    /** Returns the service as it is whenever it is asked for; as it was read, if it is gone. */
-    private Supplier<ServiceTable> currentTable(ServiceTable read) {
-        return () -> mRoutingTable.get().service(read.service().id()).orElse(read);
+    /** Returns a supplier of the current service; of the routed one if it has been removed. */
+    private Supplier<ServiceTable> currentTable(ServiceTable routed) {
+        return () -> mRoutingTable.get().service(routed.service().id()).orElse(routed);
     }
 
-    /** What a request asks for, and the service that shall answer it. */
+    /** A parsed request and the service that was chosen for it. */
     private record RoutedRequest(CallerRequest callerRequest, ServiceTable table, long version) {}
 
-    /** Tells who asks; nothing if the request may not come in. */
+    /** Resolves the requester; empty if the request is denied. */
     @FunctionalInterface
     private interface RequesterLookup {
         Optional<Requester> find(Configuration configuration, Route route, Request request);
@@ -284,7 +298,7 @@
                 response, callback, HttpStatus.UNAUTHORIZED_401, "no API key that is in force\n");
     }
 
-    /** Finds the route and checks the head; answers and returns null if that fails. */
+    /** Finds the route and checks the head; writes an answer and returns null if that fails. */
     private RoutedRequest route(
             Request request, Response response, Callback callback, RequesterLookup requesters) {
         RoutingTable table = mRoutingTable.get();
@@ -305,14 +319,14 @@
                 deny(response, callback);
                 return null;
             }
-            CallerRequest asked =
+            CallerRequest callerRequest =
                     CallerRequest.of(
                             request.getMethod(),
                             request.getHeaders(),
                             route.get(),
                             requester.get(),
                             mContext.dialect());
-            return new RoutedRequest(asked, service.get(), table.version());
+            return new RoutedRequest(callerRequest, service.get(), table.version());
         } catch (IllegalArgumentException e) {
             refuse(response, callback, HttpStatus.BAD_REQUEST_400, e.getMessage());
             return null;
@@ -320,21 +334,23 @@
     }
 
     /**
-     * Returns the home of the request's key, with or without a node that is seen; nothing if no
-     * memory is needed, or if no target of the service has a node, so that there is no memory.
+     * Returns the owner of the request's key, whether or not it has a guard.
+     *
+     * <p>Empty if the request needs no ledger of keys, or if no target of the service has a guard,
+     * so that there is no such ledger.
      */
     private static Optional<Candidate> ownerOf(RoutedRequest routed) {
         List<Candidate> all = routed.table().all();
-        boolean hasMemory = all.stream().anyMatch(one -> one.guard() != null);
+        boolean hasLedger = all.stream().anyMatch(one -> one.guard() != null);
         if (routed.callerRequest().idempotent()
                 || routed.callerRequest().key().isEmpty()
-                || !hasMemory) {
+                || !hasLedger) {
             return Optional.empty();
         }
-        String home =
+        String owner =
                 KeyOwner.of(
                         routed.callerRequest().key().get(), KeyOwners.targetIds(routed.table()));
-        return all.stream().filter(one -> one.target().id().equals(home)).findFirst();
+        return all.stream().filter(one -> one.target().id().equals(owner)).findFirst();
     }
 
     private Callback countInFlight(Callback callback) {
@@ -342,7 +358,7 @@
         return Callback.from(callback, mInFlight::decrementAndGet);
     }
 
-    // A target or an older system that points back here would make one request circle for ever.
+    // A target or a predecessor that forwards to this fleet would make a request loop forever.
     private static boolean hasLooped(Request request) {
         for (String via : request.getHeaders().getCSV(HttpHeader.VIA, false)) {
             if (via.endsWith(ForwardedHeaders.VIA_PSEUDONYM)) {
--- a/src/main/java/org/apricotgauge/caller/EntryOptions.java
+++ b/src/main/java/org/apricotgauge/caller/EntryOptions.java
@@ -9,18 +9,18 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * What differs between the sites that an entry serves.
+ * Options of the site that an entry serves.
  *
  * <pre>{@code
  * EntryOptions options = EntryOptions.of(KeyLimits.DEFAULT);
  * }</pre>
  *
- * @param dialect headers of the site's callers and targets
- * @param targetAccess whether targets can be reached past their guards
- * @param retryPolicy how often a request is sent
- * @param keyLimits bounds of the memory of Idempotency-Keys
- * @param entryRetryAllowance which retries the entry may send
- * @param guardRetryAllowance which retries the guard lets through to a target
+ * @param dialect header conventions of the site's callers and targets
+ * @param targetAccess whether targets can be reached without their guards
+ * @param retryPolicy decides on retries
+ * @param keyLimits bounds of the ledger of Idempotency-Keys
+ * @param entryRetryAllowance retries that the entry may send
+ * @param guardRetryAllowance retries that the guard forwards to a target
  */
 public record EntryOptions(
         SiteDialect dialect,
@@ -30,32 +30,32 @@
         RetryAllowancePolicy entryRetryAllowance,
         RetryAllowancePolicy guardRetryAllowance) {
 
-    /** Which ways lead to a target. */
+    /** How an entry can reach a target. */
     public enum TargetAccess {
-        /** Through its guard or, where there is none, straight. */
+        /** Through its guard or, without a reachable guard, directly. */
         GUARD_OR_DIRECT,
-        /** Through its guard alone: nothing but processes of its own VM can connect to a target. */
+        /** Through its guard only: a target accepts connections from its own VM alone. */
         GUARDS_ONLY
     }
 
-    /** Returns who uses the slots of targets. */
+    /** Returns who uses the slots of targets: the guards alone, or others as well. */
     public AdmissionConfig.SlotUse slotUse() {
         return targetAccess == TargetAccess.GUARDS_ONLY
                 ? AdmissionConfig.SlotUse.EXCLUSIVE
                 : AdmissionConfig.SlotUse.SHARED;
     }
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public EntryOptions {
         Checks.notNull("dialect", dialect);
-        Checks.notNull("reach", targetAccess);
-        Checks.notNull("repeatPolicy", retryPolicy);
+        Checks.notNull("targetAccess", targetAccess);
+        Checks.notNull("retryPolicy", retryPolicy);
         Checks.notNull("keyLimits", keyLimits);
-        Checks.notNull("entryRetries", entryRetryAllowance);
-        Checks.notNull("guardRetries", guardRetryAllowance);
+        Checks.notNull("entryRetryAllowance", entryRetryAllowance);
+        Checks.notNull("guardRetryAllowance", guardRetryAllowance);
     }
 
-    /** Returns the options of a site that speaks the fleet's own dialect. */
+    /** Returns the options of a site with the fleet's own header conventions. */
     public static EntryOptions of(KeyLimits keyLimits) {
         return new EntryOptions(
                 FleetDialect.INSTANCE,
--- a/src/main/java/org/apricotgauge/caller/ExchangeReporter.java
+++ b/src/main/java/org/apricotgauge/caller/ExchangeReporter.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.server.Request;
 
-/** What one exchange tells counters and the log: the steps that it took, and how it ended. */
+/** Reports one exchange, its steps and its outcome, to the observer, the metrics and the log. */
 final class ExchangeReporter {
     private final EntryContext mContext;
     private final CallerRequest mCallerRequest;
@@ -23,29 +23,29 @@
 
     ExchangeReporter(
             EntryContext context,
-            CallerRequest asked,
+            CallerRequest callerRequest,
             String service,
             long version,
             Request request,
             Optional<String> parentId) {
         mParentId = parentId;
         mContext = context;
-        mCallerRequest = asked;
+        mCallerRequest = callerRequest;
         mService = service;
         mVersion = version;
         mRequest = request;
         mStartNanos = context.ticker().nanos();
     }
 
-    /** Notes that the request goes to a target, and by which view of the site. */
-    void recordSend(Candidate candidate, String caution) {
+    /** Records that the request is sent to a target, and the view of the site it is based on. */
+    void recordSend(Candidate candidate, String riskTolerance) {
         SiteView view = mContext.observer().siteView();
         recordStep(
                 candidate.target().id()
                         + " at "
                         + candidate.target().host()
                         + ' '
-                        + caution
+                        + riskTolerance
                         + " by revision "
                         + view.revision()
                         + " of "
@@ -53,23 +53,23 @@
                         + " ms ago");
     }
 
-    /** Notes a step that is neither a sending nor an outcome. */
+    /** Records an outcome or another step. */
     synchronized void recordStep(String step) {
         mSteps.add(step);
     }
 
-    /** Tells what the caller is told. */
+    /** Reports the outcome that is sent to the caller. */
     void recordOutcome(Outcome outcome) {
         long tookNanos = mContext.ticker().nanos() - mStartNanos;
         mContext.observer().onRequestEnded(mService, outcome);
         mContext.metrics().totalTime().update(tookNanos, TimeUnit.NANOSECONDS);
-        boolean well =
+        boolean successful =
                 outcome instanceof Outcome.Answered answered
                         && !HttpStatus.isServerError(answered.status());
         if (!isSuccess(outcome)) {
             mParentId.ifPresent(mContext.observer()::onNestedCallFailed);
         }
-        if (well && !mContext.requestLog().shouldSample()) {
+        if (successful && !mContext.requestLog().shouldSample()) {
             return;
         }
         mContext.requestLog()
--- a/src/main/java/org/apricotgauge/caller/GuardTimeoutPolicy.java
+++ b/src/main/java/org/apricotgauge/caller/GuardTimeoutPolicy.java
@@ -3,21 +3,21 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * How long a guard may be silent before its path counts as dead.
+ * Decides how long a guard may send nothing before its path counts as dead.
  *
  * <pre>{@code
- * long millis = SilencePolicy.DEFAULT.firstWordMillis(lagMillis);
+ * long millis = GuardTimeoutPolicy.DEFAULT.acknowledgementTimeoutMillis(lagMillis);
  * }</pre>
  *
- * <p>An entry that is itself short of processor time hears everybody late. Were it to blame the
- * paths, it would fence and repeat what is well under way, and the extra work would make it later
- * still. So its own lag stretches the bounds (the idea of Lifeguard, Dadgar et al. 2018).
+ * <p>An entry that is short of processor time handles all messages late. If it blamed the paths, it
+ * would fence and retry requests that are running, and the extra work would increase its lag. So
+ * the timeouts grow with its own lag (the idea of Lifeguard, Dadgar et al. 2018).
  *
- * @param baseAcknowledgementTimeoutMillis longest wait for the first word while the entry is in
- *     time
- * @param heartbeatTimeoutMillis longest silence after it; the guard speaks every second
- * @param lagFactor how many times the lag is added
- * @param maxExtraMillis most that the lag adds, so that the bound stays a bound
+ * @param baseAcknowledgementTimeoutMillis longest wait for the first acknowledgement without lag
+ * @param heartbeatTimeoutMillis longest wait for the next one without lag; the guard sends one
+ *     every second
+ * @param lagFactor factor by which the lag is multiplied before it is added
+ * @param maxExtraMillis most that the lag adds, so that the timeouts stay bounded
  */
 record GuardTimeoutPolicy(
         long baseAcknowledgementTimeoutMillis,
@@ -27,20 +27,21 @@
     /** Half a second, 3.5 s, and up to 2 s more while the entry lags. */
     static final GuardTimeoutPolicy DEFAULT = new GuardTimeoutPolicy(500, 3_500, 8, 2_000);
 
-    /** Checks the parts. */
+    /** Validates the components. */
     GuardTimeoutPolicy {
-        Checks.inRange("baseFirstWordMillis", baseAcknowledgementTimeoutMillis, 1, 60_000);
-        Checks.inRange("silenceMillis", heartbeatTimeoutMillis, 1, 60_000);
+        Checks.inRange(
+                "baseAcknowledgementTimeoutMillis", baseAcknowledgementTimeoutMillis, 1, 60_000);
+        Checks.inRange("heartbeatTimeoutMillis", heartbeatTimeoutMillis, 1, 60_000);
         Checks.inRange("lagFactor", lagFactor, 0, 1_000);
         Checks.inRange("maxExtraMillis", maxExtraMillis, 0, 60_000);
     }
 
-    /** Returns the bound on the wait for the first word, in milliseconds. */
+    /** Returns the longest wait for the first acknowledgement, in milliseconds. */
     long acknowledgementTimeoutMillis(long lagMillis) {
         return baseAcknowledgementTimeoutMillis + extraMillis(lagMillis);
     }
 
-    /** Returns the bound on later silences, in milliseconds. */
+    /** Returns the longest wait for each later acknowledgement, in milliseconds. */
     long heartbeatTimeoutMillis(long lagMillis) {
         return heartbeatTimeoutMillis + extraMillis(lagMillis);
     }
--- a/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
@@ -27,23 +27,23 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * An attempt through the guard beside the target.
+ * An attempt sent through the guard of the target.
  *
- * <p>The guard says at once, and then every second, that it has the attempt. Silence means that the
- * path is dead one way or the other: the attempt is fenced over a new connection, and only the
- * guard's "not run" lets it count as not run.
+ * <p>The guard acknowledges the attempt at once and then every second. Without an acknowledgement
+ * in time, the path counts as dead in at least one direction: the attempt is fenced over a new
+ * connection, and it counts as not run only if the guard answers "not run".
  */
 final class GuardedAttempt implements TargetAttempt, UpstreamExchange.Listener {
-    /** Longest wait for the answer to a fence, a new connection included. */
+    /** Longest wait for the answer to a fence, including a new connection. */
     static final long FENCE_TIMEOUT_MILLIS = 2_000;
 
-    /** Part of the time left that a guard may not use, so that its word arrives before the end. */
+    /** Time before the deadline that a guard may not use, so that its answer arrives in time. */
     private static final long MAX_DEADLINE_MARGIN_MILLIS = 100;
 
-    /** The margin is at most this part of the time left. */
+    /** The margin is at most the remaining time divided by this. */
     private static final long DEADLINE_MARGIN_DIVISOR = 10;
 
-    /** As sick as a target counts right after a failure. */
+    /** Least degradation probability of a target right after a failure. */
     private static final double PROBABILITY_AFTER_FAILURE = 0.95;
 
     private final CallerExchange mExchange;
@@ -73,9 +73,9 @@
         mContext.guards()
                 .clockEstimate(mCandidate.guard(), waitMillis)
                 .whenComplete(
-                        (sighting, failure) -> {
+                        (clockEstimate, failure) -> {
                             if (failure == null) {
-                                sendTo(sighting);
+                                sendTo(clockEstimate);
                             } else {
                                 onGuardUnreachable();
                             }
@@ -91,38 +91,41 @@
         mExchange.onAttemptEnded(this, new Outcome.NotRun(NotRunReason.NEVER_SENT, 0));
     }
 
-    private void sendTo(GuardClockEstimate sighting) {
-        long leftMillis = mExchange.remainingMillis();
-        if (leftMillis <= 0) {
+    private void sendTo(GuardClockEstimate clockEstimate) {
+        long remainingMillis = mExchange.remainingMillis();
+        if (remainingMillis <= 0) {
             end();
             return;
         }
-        long untilMillis =
+        long guardDeadlineMillis =
                 mExchange.deadlineMillis()
                         - Math.min(
-                                MAX_DEADLINE_MARGIN_MILLIS, leftMillis / DEADLINE_MARGIN_DIVISOR);
+                                MAX_DEADLINE_MARGIN_MILLIS,
+                                remainingMillis / DEADLINE_MARGIN_DIVISOR);
         mAttempt =
-                sighting.newAttempt(
-                        mContext.attemptIds().next(), mContext.ticker().millis(), untilMillis);
+                clockEstimate.newAttempt(
+                        mContext.attemptIds().next(),
+                        mContext.ticker().millis(),
+                        guardDeadlineMillis);
         startTimeout(acknowledgementTimeoutMillis());
-        mUpstream = UpstreamExchange.send(newHopRequest(leftMillis), this);
+        mUpstream = UpstreamExchange.send(newHopRequest(remainingMillis), this);
     }
 
-    private Request newHopRequest(long leftMillis) {
-        org.eclipse.jetty.server.Request from = mExchange.request();
-        Request to =
+    private Request newHopRequest(long remainingMillis) {
+        org.eclipse.jetty.server.Request callerRequest = mExchange.request();
+        Request upstreamRequest =
                 mContext.guards()
                         .newRequest(mCandidate.guard())
-                        .method(from.getMethod())
-                        .path(from.getHttpURI().getPathQuery());
-        to.headers(
+                        .method(callerRequest.getMethod())
+                        .path(callerRequest.getHttpURI().getPathQuery());
+        upstreamRequest.headers(
                 headers -> {
-                    ForwardedHeaders.copyRequest(from.getHeaders(), headers);
+                    ForwardedHeaders.copyRequest(callerRequest.getHeaders(), headers);
                     mExchange.callerRequest().requester().removeCredentials(headers);
                     headers.put(Attempt.HEADER, mAttempt.toString());
                     headers.put(HeaderNames.TARGET, mCandidate.target().id());
                     headers.put(HeaderNames.MEMBER, mExchange.callerRequest().memberId());
-                    headers.put(HeaderNames.TIMEOUT_MILLIS, leftMillis);
+                    headers.put(HeaderNames.TIMEOUT_MILLIS, remainingMillis);
                     headers.put(HeaderNames.PRIORITY, priority());
                     headers.put(
                             HeaderNames.RISK_TOLERANCE,
@@ -137,12 +140,12 @@
                     mContext.dialect().addOriginHeaders(headers);
                     mHopStartMillis = mContext.observer().addHopHeaders(headers);
                 });
-        to.body(mExchange.body().open());
-        return to;
+        upstreamRequest.body(mExchange.body().open());
+        return upstreamRequest;
     }
 
     private void addRetryHeaders(HttpFields.Mutable headers) {
-        boolean parentRepeats =
+        boolean parentIsRetry =
                 mExchange.parentId().filter(mContext.observer()::isRetry).isPresent();
         if (mExchange.parentId().isPresent()) {
             headers.put(HeaderNames.NESTED_CALL, "1");
@@ -153,15 +156,16 @@
                     mExchange.isRetryPaid()
                             ? HeaderNames.RETRY_PREPAID
                             : HeaderNames.RETRY_OF_REQUEST);
-        } else if (parentRepeats) {
+        } else if (parentIsRetry) {
             headers.put(HeaderNames.RETRY, HeaderNames.RETRY_OF_PARENT);
         }
     }
 
     private void addQueueingHeaders(HttpFields.Mutable headers) {
-        QueueingPolicy patience = mExchange.queueingPolicy();
-        if (patience != QueueingPolicy.MAY_WAIT) {
-            headers.put(HeaderNames.QUEUEING_POLICY, patience.name().toLowerCase(Locale.ROOT));
+        QueueingPolicy queueingPolicy = mExchange.queueingPolicy();
+        if (queueingPolicy != QueueingPolicy.MAY_WAIT) {
+            headers.put(
+                    HeaderNames.QUEUEING_POLICY, queueingPolicy.name().toLowerCase(Locale.ROOT));
         }
         headers.put(
                 HeaderNames.SOFT_DEADLINE_MILLIS,
@@ -221,13 +225,13 @@
             mTracker.recordOutcome(ObservedOutcome.CANCELLED);
             if (outcome.get() instanceof Outcome.NotRun notRun
                     && notRun.reason() == NotRunReason.LEAVING) {
-                // It stops, and its port closes in a moment.
+                // The node is stopping and closes its port soon.
                 mContext.guards().onConnectFailed(mCandidate.guard());
             }
             mExchange.onAttemptEnded(this, outcome.get());
             return;
         }
-        // An answer to another attempt on a mixed-up connection must never reach this caller.
+        // An answer to another attempt, on a desynchronized connection, must not reach the caller.
         if (!mAttempt.toString().equals(headers.get(Attempt.HEADER))) {
             end();
             body.fail(new IllegalStateException("answer to another attempt"));
@@ -251,7 +255,7 @@
             mCandidate.load().setStartLimit(StartLimit.parseOrNone(limit).orElse(null));
         }
         DegradationEstimate.Report.parse(headers.get(HeaderNames.HEALTH))
-                .map(told -> told.receivedAt(mContext.ticker().millis()))
+                .map(report -> report.receivedAt(mContext.ticker().millis()))
                 .ifPresent(mCandidate.load()::reportDegradation);
     }
 
@@ -275,8 +279,8 @@
         fence(true);
     }
 
-    // Bytes went out and nothing came back. Only the guard can say that the attempt did not run,
-    // and once it has said so it refuses the attempt should it still arrive.
+    // Bytes were sent and no answer arrived. Only the guard can confirm that the attempt did not
+    // run; once it has, it refuses the attempt should it still arrive.
     private void fence(boolean connectionOpen) {
         if (!mFencing.compareAndSet(false, true)) {
             return;
@@ -296,7 +300,7 @@
                 .whenComplete((answer, failure) -> onFenceEnded(answer, connectionOpen));
     }
 
-    /** Leaves the guard to itself: what may repeat need not wait for its word. */
+    /** Ends the attempt without a fence; an idempotent request need not wait for the guard. */
     private void abandonWithoutFence(boolean connectionOpen) {
         end();
         recordPathFailure();
@@ -308,9 +312,8 @@
         mExchange.onAttemptEnded(this, new Outcome.Unknown(UnknownReason.GUARD_UNREACHABLE));
     }
 
-    // Whatever is wrong on the way counts, for some seconds, as if the target were sick: requests
-    // of
-    // this entry that must not repeat would meet the same silence.
+    // For some seconds, a path failure counts as if the target were degraded: non-idempotent
+    // requests of this entry would time out in the same way.
     private void recordPathFailure() {
         mCandidate.load().recordFailure(PROBABILITY_AFTER_FAILURE, mContext.ticker().millis());
     }
@@ -320,7 +323,7 @@
         mContext.observer().onFenceEnded(mCandidate.target(), mAttempt.id().toString(), answer);
         boolean started = answer != null && answer.state() == FenceAnswer.State.STARTED;
         if (started && connectionOpen) {
-            // It runs, and must not run twice: the answer may still come over the old connection.
+            // It is running and must not run twice; the old connection may still bring the answer.
             mFencing.set(false);
             return;
         }
@@ -357,9 +360,9 @@
     }
 
     private void cancelTimeout() {
-        Scheduler.Task silence = mTimeoutTask;
-        if (silence != null) {
-            silence.cancel();
+        Scheduler.Task timeoutTask = mTimeoutTask;
+        if (timeoutTask != null) {
+            timeoutTask.cancel();
         }
     }
 }
--- a/src/main/java/org/apricotgauge/caller/KeyOwners.java
+++ b/src/main/java/org/apricotgauge/caller/KeyOwners.java
@@ -11,17 +11,17 @@
 import org.apricotgauge.decision.routing.ServiceTable;
 
 /**
- * Knows since when a target has been the home of a key, as far back as keys are remembered.
+ * Determines since when a target has been the owner of a key, within the retention time of keys.
  *
- * <p>When the configuration adds or removes a target, the homes of some keys move. A new home can't
- * know what the old one ran; it must refuse such keys until what the old one knew has expired.
+ * <p>When the configuration adds or removes a target, some keys get a new owner. It doesn't know
+ * which of them the old owner ran, and must refuse them until the old owner's entries have expired.
  * Thread-safe.
  */
 final class KeyOwners {
     private final long mRetentionMillis;
     private final ConcurrentMap<String, TargetSetHistory> mHistories = new ConcurrentHashMap<>();
 
-    /** Targets of a service from a time on; the newest first. */
+    /** Sets of targets that a service has had, newest first. */
     private static final class TargetSetHistory {
         private final Deque<TargetSet> mTargetSets = new ArrayDeque<>();
     }
@@ -38,42 +38,44 @@
     }
 
     /**
-     * Returns since when the key's present home has been its home.
+     * Returns since when the key has had its current owner.
      *
-     * @return a time in milliseconds, or {@link Long#MIN_VALUE} if no other home is remembered
+     * @return a time in milliseconds, or {@link Long#MIN_VALUE} if no other owner is remembered
      */
     long ownerSinceMillis(IdempotencyKey key, ServiceTable table, long nowMillis) {
         TargetSetHistory history =
                 mHistories.computeIfAbsent(table.service().id(), id -> new TargetSetHistory());
-        List<String> present = targetIds(table);
+        List<String> currentIds = targetIds(table);
         synchronized (history) {
-            recordTargetSet(history.mTargetSets, present, nowMillis);
-            String home = KeyOwner.of(key, present);
+            recordTargetSet(history.mTargetSets, currentIds, nowMillis);
+            String owner = KeyOwner.of(key, currentIds);
             long sinceMillis = Long.MIN_VALUE;
-            for (TargetSet era : history.mTargetSets) {
-                if (!era.targetIds().isEmpty() && !KeyOwner.of(key, era.targetIds()).equals(home)) {
+            for (TargetSet targetSet : history.mTargetSets) {
+                if (!targetSet.targetIds().isEmpty()
+                        && !KeyOwner.of(key, targetSet.targetIds()).equals(owner)) {
                     return sinceMillis;
                 }
-                sinceMillis = era.sinceMillis();
+                sinceMillis = targetSet.sinceMillis();
             }
             return Long.MIN_VALUE;
         }
     }
 
-    private void recordTargetSet(Deque<TargetSet> eras, List<String> present, long nowMillis) {
-        if (eras.isEmpty() || !eras.getFirst().targetIds().equals(present)) {
-            eras.addFirst(new TargetSet(nowMillis, present));
+    private void recordTargetSet(
+            Deque<TargetSet> targetSets, List<String> currentIds, long nowMillis) {
+        if (targetSets.isEmpty() || !targetSets.getFirst().targetIds().equals(currentIds)) {
+            targetSets.addFirst(new TargetSet(nowMillis, currentIds));
         }
-        // An era matters for as long as the one after it is younger than the retention.
-        Iterator<TargetSet> oldest = eras.descendingIterator();
-        TargetSet last = oldest.next();
-        while (oldest.hasNext()) {
-            TargetSet after = oldest.next();
-            if (nowMillis - after.sinceMillis() <= mRetentionMillis) {
+        // A set of targets is needed until the next newer one is older than the retention time.
+        Iterator<TargetSet> oldestFirst = targetSets.descendingIterator();
+        TargetSet oldest = oldestFirst.next();
+        while (oldestFirst.hasNext()) {
+            TargetSet newer = oldestFirst.next();
+            if (nowMillis - newer.sinceMillis() <= mRetentionMillis) {
                 return;
             }
-            eras.remove(last);
-            last = after;
+            targetSets.remove(oldest);
+            oldest = newer;
         }
     }
 }
--- a/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
@@ -22,10 +22,10 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * An attempt at the node that remembers the request's Idempotency-Key.
+ * An attempt at the owner of the request's Idempotency-Key.
  *
- * <p>That node runs the key at most once, whatever reaches it, so that sending again to it is safe
- * where nothing else would be; and only to it. Silence leads to a new attempt over a new
+ * <p>The owner runs the key at most once, however often the request reaches it. A retry at the
+ * owner is therefore safe, and at no other node. A timeout leads to a new attempt over a new
  * connection, not to a fence.
  */
 final class KeyedAttempt implements TargetAttempt, UpstreamExchange.Listener {
@@ -36,10 +36,10 @@
     private volatile UpstreamExchange mUpstream;
     private volatile Scheduler.Task mTimeoutTask;
 
-    KeyedAttempt(CallerExchange exchange, Candidate home, IdempotencyKey key) {
+    KeyedAttempt(CallerExchange exchange, Candidate owner, IdempotencyKey key) {
         mExchange = exchange;
         mContext = exchange.context();
-        mOwner = home.guard();
+        mOwner = owner.guard();
         mKey = key;
     }
 
@@ -50,9 +50,9 @@
         mContext.guards()
                 .clockEstimate(mOwner, waitMillis)
                 .whenComplete(
-                        (sighting, failure) -> {
+                        (clockEstimate, failure) -> {
                             if (failure == null) {
-                                sendTo(sighting);
+                                sendTo(clockEstimate);
                             } else {
                                 mExchange.onAttemptEnded(
                                         this, new Outcome.NotRun(NotRunReason.NEVER_SENT, 0));
@@ -60,27 +60,27 @@
                         });
     }
 
-    private void sendTo(GuardClockEstimate sighting) {
-        Attempt attempt = mExchange.newOwnerAttempt(sighting, mExchange.deadlineMillis());
-        long leftMillis = Math.max(1, mExchange.remainingMillis());
-        org.eclipse.jetty.server.Request from = mExchange.request();
-        Request to =
+    private void sendTo(GuardClockEstimate clockEstimate) {
+        Attempt attempt = mExchange.newOwnerAttempt(clockEstimate, mExchange.deadlineMillis());
+        long remainingMillis = Math.max(1, mExchange.remainingMillis());
+        org.eclipse.jetty.server.Request callerRequest = mExchange.request();
+        Request upstreamRequest =
                 mContext.guards()
                         .newRequest(mOwner)
-                        .method(from.getMethod())
-                        .path(from.getHttpURI().getPathQuery());
-        to.headers(
+                        .method(callerRequest.getMethod())
+                        .path(callerRequest.getHttpURI().getPathQuery());
+        upstreamRequest.headers(
                 headers -> {
-                    ForwardedHeaders.copyRequest(from.getHeaders(), headers);
+                    ForwardedHeaders.copyRequest(callerRequest.getHeaders(), headers);
                     mExchange.callerRequest().requester().removeCredentials(headers);
                     headers.put(HeaderNames.CONTROL, GuardHandler.CONTROL_KEYED);
                     headers.put(Attempt.HEADER, attempt.toString());
                     headers.put(HeaderNames.MEMBER, mKey.member());
-                    headers.put(HeaderNames.TIMEOUT_MILLIS, leftMillis);
+                    headers.put(HeaderNames.TIMEOUT_MILLIS, remainingMillis);
                 });
-        to.body(mExchange.body().open());
+        upstreamRequest.body(mExchange.body().open());
         startTimeout(acknowledgementTimeoutMillis());
-        mUpstream = UpstreamExchange.send(to, this);
+        mUpstream = UpstreamExchange.send(upstreamRequest, this);
     }
 
     private long acknowledgementTimeoutMillis() {
@@ -119,7 +119,7 @@
         mContext.guards().recordStamp(mOwner, answer.getHeaders());
         Optional<Outcome> outcome = OutcomeCodec.read(answer.getHeaders());
         if (outcome.isPresent()) {
-            body.fail(new IllegalStateException("an outcome has no body of interest"));
+            body.fail(new IllegalStateException("the body of an outcome is not read"));
             mExchange.onAttemptEnded(this, outcome.get());
             return;
         }
@@ -149,9 +149,9 @@
     }
 
     private void cancelTimeout() {
-        Scheduler.Task silence = mTimeoutTask;
-        if (silence != null) {
-            silence.cancel();
+        Scheduler.Task timeoutTask = mTimeoutTask;
+        if (timeoutTask != null) {
+            timeoutTask.cancel();
         }
     }
 }
--- a/src/main/java/org/apricotgauge/caller/KeyedRequestHandler.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedRequestHandler.java
@@ -20,10 +20,10 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Runs each Idempotency-Key whose home is this node at most once.
+ * Runs each Idempotency-Key that this node owns at most once.
  *
- * <p>The home remembers; any healthy target may run the request. What that promises across restarts
- * and partitions is written in docs/design/at-most-once.md.
+ * <p>The owner keeps the ledger of its keys; any healthy target may run the request. The guarantees
+ * across restarts and partitions are described in docs/design/at-most-once.md.
  */
 final class KeyedRequestHandler {
     private static final int MAX_STORED_BODY_BYTES = 16_384;
@@ -34,10 +34,10 @@
     private final IdempotencyLedger mLedger;
     private final KeyOwners mOwners;
 
-    /** Runs a request that may run, and writes what becomes of it. */
+    /** Runs a request that the ledger has admitted, and writes its final answer. */
     @FunctionalInterface
     interface Runner {
-        /** Completes the callback once the final answer is written. */
+        /** Completes the callback once the final answer has been written. */
         void run(Response response, Callback callback);
     }
 
@@ -49,37 +49,37 @@
     }
 
     /**
-     * Decides on a submission that this node is the home of.
+     * Runs, replays or refuses a submission whose key this node owns.
      *
-     * <p>One for the older system is remembered as well, so that the key does not run at the fleet
-     * too once its bucket has moved. It is never refused for want of memory: what ran before this
-     * node remembered ran over there, and the older system answers for it as it always did.
+     * <p>A submission for the predecessor is recorded as well, so that its key doesn't also run in
+     * the fleet once its bucket has moved. It is never refused because this node became the owner
+     * only recently: an earlier submission ran at the predecessor, which handles duplicates itself.
      *
-     * @param predecessors whether the older system serves it
+     * @param servedByPredecessor whether the predecessor serves the request
      */
     void handle(
             IdempotencyKey key,
             ServiceTable table,
-            boolean predecessors,
+            boolean servedByPredecessor,
             Request request,
             Response response,
             Callback callback,
             Runner runner) {
         long nowMillis = mContext.ticker().millis();
-        long sinceMillis = mOwners.ownerSinceMillis(key, table, nowMillis);
-        KeyDecision verdict =
+        long ownerSinceMillis = mOwners.ownerSinceMillis(key, table, nowMillis);
+        KeyDecision decision =
                 mLedger.begin(
                         key,
                         fingerprint(request),
-                        sinceMillis,
+                        ownerSinceMillis,
                         nowMillis,
-                        predecessors ? KeyLimits.NewOwnerPolicy.RUN : mNewOwnerPolicy);
-        if (verdict instanceof KeyDecision.Execute) {
+                        servedByPredecessor ? KeyLimits.NewOwnerPolicy.RUN : mNewOwnerPolicy);
+        if (decision instanceof KeyDecision.Execute) {
             run(key, request, response, callback, runner);
-        } else if (verdict instanceof KeyDecision.Replay done) {
-            replay(done.answer(), response, callback);
+        } else if (decision instanceof KeyDecision.Replay replay) {
+            replay(replay.answer(), response, callback);
         } else {
-            refuse(verdict, response, callback);
+            refuse(decision, response, callback);
         }
     }
 
@@ -89,29 +89,31 @@
             Response response,
             Callback callback,
             Runner runner) {
-        CapturingResponse keeper =
+        CapturingResponse capturingResponse =
                 new CapturingResponse(
                         request, response, MAX_STORED_BODY_BYTES, mContext.scheduler());
-        Callback ended =
+        Callback endCallback =
                 Callback.from(
                         () -> {
-                            keeper.stopHeartbeat();
-                            recordOutcome(key, keeper);
+                            capturingResponse.stopHeartbeat();
+                            recordOutcome(key, capturingResponse);
                             callback.succeeded();
                         },
                         cause -> {
-                            keeper.stopHeartbeat();
+                            capturingResponse.stopHeartbeat();
                             mLedger.outcomeUnknown(key, mContext.ticker().millis());
                             callback.failed(cause);
                         });
-        keeper.sendHeartbeat().whenComplete((written, failure) -> runner.run(keeper, ended));
+        capturingResponse
+                .sendHeartbeat()
+                .whenComplete((written, failure) -> runner.run(capturingResponse, endCallback));
     }
 
-    private void recordOutcome(IdempotencyKey key, CapturingResponse keeper) {
-        String outcome = keeper.getHeaders().get(HeaderNames.OUTCOME);
+    private void recordOutcome(IdempotencyKey key, CapturingResponse capturingResponse) {
+        String outcome = capturingResponse.getHeaders().get(HeaderNames.OUTCOME);
         long nowMillis = mContext.ticker().millis();
         if (outcome == null) {
-            mLedger.completed(key, keeper.storedAnswer(), nowMillis);
+            mLedger.completed(key, capturingResponse.storedAnswer(), nowMillis);
         } else if (HeaderNames.OUTCOME_NOT_RUN.equals(outcome)) {
             mLedger.notRun(key);
         } else {
@@ -119,7 +121,7 @@
         }
     }
 
-    /** Hashes what makes a request the same one; another with its key is a mistake. */
+    /** Hashes what identifies a request; a different request with the same key is an error. */
     private static long fingerprint(Request request) {
         return Hashing.komihash5_0()
                 .hashStream()
@@ -142,23 +144,23 @@
         response.write(true, answer.body().duplicate(), callback);
     }
 
-    private static void refuse(KeyDecision verdict, Response response, Callback callback) {
-        if (verdict instanceof KeyDecision.InProgress) {
+    private static void refuse(KeyDecision decision, Response response, Callback callback) {
+        if (decision instanceof KeyDecision.InProgress) {
             response.getHeaders().put(HttpHeader.RETRY_AFTER, RETRY_AFTER_SECONDS);
             writeConflict(response, callback, "this key is running now");
-        } else if (verdict instanceof KeyDecision.Conflict) {
+        } else if (decision instanceof KeyDecision.Conflict) {
             Bodies.writeText(
                     response,
                     callback,
                     HttpStatus.UNPROCESSABLE_ENTITY_422,
                     IdempotencyKey.HEADER + " was used for another request\n");
-        } else if (verdict instanceof KeyDecision.HistoryUnknown unknown) {
+        } else if (decision instanceof KeyDecision.HistoryUnknown unknown) {
             OutcomeCodec.write(
                     response,
                     callback,
                     new Outcome.NotRun(
                             NotRunReason.KEY_HISTORY_UNKNOWN, unknown.retryAfterMillis()));
-        } else if (verdict instanceof KeyDecision.LedgerFull full) {
+        } else if (decision instanceof KeyDecision.LedgerFull full) {
             OutcomeCodec.write(
                     response,
                     callback,
--- a/src/main/java/org/apricotgauge/caller/LagMeter.java
+++ b/src/main/java/org/apricotgauge/caller/LagMeter.java
@@ -5,9 +5,9 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Measures how late this process gets to run: the lateness of a task that is due every 100 ms.
+ * Measures the scheduling lag of this process: the delay of a task that is due every 100 ms.
  *
- * <p>The reading follows a rise at once and falls by half in about a second.
+ * <p>The value rises at once and decays by half in about a second.
  */
 final class LagMeter {
     private static final long PERIOD_MILLIS = 100;
--- a/src/main/java/org/apricotgauge/caller/NestedCallPolicy.java
+++ b/src/main/java/org/apricotgauge/caller/NestedCallPolicy.java
@@ -6,23 +6,24 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Tells whether a request is a call that a target of this VM makes for a request that it serves.
+ * Decides whether a request is a nested call: one that a target of this VM makes for a request that
+ * it serves.
  *
- * <p>Calls go before other work and are no traffic of callers. The id alone would let any caller
- * claim that, so it counts only if the request that it names is at work beside this node: a target
- * sends its calls to the node of its own VM.
+ * <p>Nested calls have priority over other requests and don't count as traffic of callers. Any
+ * caller could claim that by the id alone, so the id counts only if the request that it names is
+ * running at a target of this VM: a target sends its calls to the node of its own VM.
  */
 final class NestedCallPolicy {
 
     private NestedCallPolicy() {}
 
     /**
-     * Returns the id of the request that the call is made for; nothing for a caller's request.
+     * Returns the id of the request that the call is made for; empty for a caller's request.
      *
-     * @param atWork whether a request, by its id, is at work at a target of this VM
+     * @param isRunning whether a request, by its id, is running at a target of this VM
      */
     static Optional<String> parentId(
-            SiteDialect dialect, HttpFields headers, Predicate<String> atWork) {
-        return dialect.parentId(headers).filter(atWork);
+            SiteDialect dialect, HttpFields headers, Predicate<String> isRunning) {
+        return dialect.parentId(headers).filter(isRunning);
     }
 }
--- a/src/main/java/org/apricotgauge/caller/PredecessorAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/PredecessorAttempt.java
@@ -8,10 +8,10 @@
 import org.eclipse.jetty.io.Content;
 
 /**
- * The one attempt at the older routing system, for a request in its share.
+ * The only attempt of a request that is in the share of the predecessor, the older routing system.
  *
- * <p>The request goes on as it came, with {@code Via} and without the fleet's own headers; the
- * answer passes as it is, whatever its status.
+ * <p>The request is forwarded as received, with {@code Via} and without the fleet's own headers.
+ * The answer is forwarded unchanged, whatever its status.
  */
 final class PredecessorAttempt implements TargetAttempt, UpstreamExchange.Listener {
     private final CallerExchange mExchange;
@@ -25,17 +25,18 @@
 
     @Override
     public void send() {
-        org.eclipse.jetty.server.Request from = mExchange.request();
-        Request to =
+        org.eclipse.jetty.server.Request callerRequest = mExchange.request();
+        Request upstreamRequest =
                 mExchange
                         .context()
                         .directClient()
                         .newRequest(mPredecessor.host(), mPredecessor.port())
-                        .method(from.getMethod())
-                        .path(from.getHttpURI().getPathQuery());
-        to.headers(headers -> ForwardedHeaders.copyRequest(from.getHeaders(), headers));
-        to.body(mExchange.body().open());
-        mUpstream = UpstreamExchange.send(to, this);
+                        .method(callerRequest.getMethod())
+                        .path(callerRequest.getHttpURI().getPathQuery());
+        upstreamRequest.headers(
+                headers -> ForwardedHeaders.copyRequest(callerRequest.getHeaders(), headers));
+        upstreamRequest.body(mExchange.body().open());
+        mUpstream = UpstreamExchange.send(upstreamRequest, this);
     }
 
     @Override
--- a/src/main/java/org/apricotgauge/caller/PredecessorShare.java
+++ b/src/main/java/org/apricotgauge/caller/PredecessorShare.java
@@ -5,25 +5,26 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * Tells which requests of a service the older routing system serves.
+ * Decides which requests of a service are served by the predecessor, the older routing system.
  *
- * <p>A request with an Idempotency-Key is told by that, so that a repeated submission stays on one
- * side; any other by its member, host and path.
+ * <p>A request with an Idempotency-Key is assigned by its key, so that a retried submission goes to
+ * the same system; any other by its member, host, path and query.
  */
 final class PredecessorShare {
 
     private PredecessorShare() {}
 
-    /** Returns whether the older system serves a request. */
-    static boolean covers(Service service, CallerRequest asked, Request request) {
+    /** Returns whether the predecessor serves a request. */
+    static boolean covers(Service service, CallerRequest callerRequest, Request request) {
         int bucket =
-                asked.key()
+                callerRequest
+                        .key()
                         .map(SharePolicy::bucketOf)
                         .orElseGet(
                                 () ->
                                         SharePolicy.bucketOf(
                                                 service.id(),
-                                                asked.memberId(),
+                                                callerRequest.memberId(),
                                                 Request.getServerName(request),
                                                 request.getHttpURI().getPathQuery()));
         return !SharePolicy.isServedByFleet(bucket, service.fleetSharePercent());
--- a/src/main/java/org/apricotgauge/caller/ProbeSource.java
+++ b/src/main/java/org/apricotgauge/caller/ProbeSource.java
@@ -2,10 +2,10 @@
 
 import java.util.Optional;
 
-/** Says which ejected target, if any, a repeatable request of a service should try now. */
+/** Selects the ejected targets that idempotent requests of a service are to probe. */
 @FunctionalInterface
 public interface ProbeSource {
 
-    /** Takes the right to try a target of the service; each right is given once. */
-    Optional<String> tryAcquire(String service);
+    /** Returns the id of a target to probe, if any; each probe is granted to one request only. */
+    Optional<String> tryAcquire(String serviceId);
 }
--- a/src/main/java/org/apricotgauge/caller/QuarantineCheck.java
+++ b/src/main/java/org/apricotgauge/caller/QuarantineCheck.java
@@ -9,14 +9,15 @@
 import org.eclipse.jetty.client.Request;
 
 /**
- * Tells whether a caller's request is kept from targets because it crashes them.
+ * Checks whether a caller's request is quarantined because it crashes targets.
  *
  * <pre>{@code
- * check.whenIdentified(() -> { if (check.heldMillis() > 0) refuse(); });
+ * check.whenIdentified(() -> { if (check.remainingQuarantineMillis() > 0) refuse(); });
  * }</pre>
  *
- * <p>While nothing is held it costs a look at an empty set. The guard looks as well, just before
- * the first byte; the entry's look saves the hop, and covers targets that have no guard.
+ * <p>While nothing is quarantined, the check only reads an empty set. The guard checks again just
+ * before it sends the first byte; the check at the entry saves the hop, and covers targets without
+ * a guard.
  */
 final class QuarantineCheck {
     private final QuarantineTable mTable;
@@ -28,21 +29,27 @@
     /**
      * Creates the check of one request.
      *
-     * @param readHead hashes the request's head; asked when it is first needed
+     * @param headHasher returns the hash of the request's head; called once, when first needed
      * @param hasBody whether the request may have a body
-     * @param content the body
+     * @param replayableBody the body
      */
     QuarantineCheck(
-            QuarantineTable table, LongSupplier readHead, boolean hasBody, ReplayableBody content) {
+            QuarantineTable table,
+            LongSupplier headHasher,
+            boolean hasBody,
+            ReplayableBody replayableBody) {
         mTable = table;
-        mHeadHasher = readHead;
-        mReplayableBody = content;
+        mHeadHasher = headHasher;
+        mReplayableBody = replayableBody;
         if (!hasBody) {
             mBodyHash.end();
         }
     }
 
-    /** Goes on once the request can be told from those held with the same head, if any are. */
+    /**
+     * Runs the callback once the request's fingerprint is known as far as the check needs it; reads
+     * the body only if a request with the same head is quarantined.
+     */
     void whenIdentified(Runnable next) {
         if (mBodyHash.isComplete()
                 || mTable.quarantinedCount() == 0
@@ -50,11 +57,11 @@
             next.run();
             return;
         }
-        // A body that breaks off meanwhile fails the attempt that reads it next.
+        // If the body is truncated, the attempt that reads it next fails.
         mReplayableBody.readAhead(mBodyHash).whenComplete((read, failure) -> next.run());
     }
 
-    /** Returns how long the request is still kept from targets, in milliseconds; 0 if it is not. */
+    /** Returns how long the request stays quarantined, in milliseconds; 0 if it is not. */
     long remainingQuarantineMillis() {
         return mTable.quarantinedCount() == 0 ? 0 : mTable.remainingQuarantineMillis(fingerprint());
     }
@@ -63,13 +70,13 @@
         return new Fingerprint(headHash(), mBodyHash.value());
     }
 
-    /** Returns the request's body for an attempt past the guards, which tells its fingerprint. */
+    /** Returns the request's body for a direct attempt; reading it completes the fingerprint. */
     Request.Content hashedBody() {
         Request.Content body = mReplayableBody.open();
         if (mBodyHash.isComplete()) {
             return body;
         }
-        // What an attempt before had hashed of the body is sent and hashed again.
+        // An earlier attempt may have hashed a part of the body, which is sent and hashed again.
         BodyHash hash = new BodyHash();
         mBodyHash = hash;
         return new HashingBody(body, hash);
--- a/src/main/java/org/apricotgauge/caller/RequestLog.java
+++ b/src/main/java/org/apricotgauge/caller/RequestLog.java
@@ -8,37 +8,39 @@
 import org.jboss.logging.Logger;
 
 /**
- * Writes one line for each request that ended badly and for a sample of the others.
+ * Logs one line for each failed request and for a sample of the successful ones.
  *
  * <pre>{@code
- * log.ended(new DecisionLog.Ended(id, route, service, "not-run", steps, tookMillis, version));
+ * log.logEnded(
+ *     new RequestLog.EndedRequest(
+ *         id, route, service, "not-run", steps, tookMillis, version, origin));
  * }</pre>
  *
- * <p>An engineer on call starts from a request's id. The line tells what each attempt was sent to
- * and what became of it, so that the guard's lines, which bear the same id, need only be looked up
- * at the node that is named. At most {@link #LINES_PER_SECOND} are written; the next line tells how
- * many were left out. Thread-safe.
+ * <p>An engineer on call searches by a request's id. The line names the node that each attempt was
+ * sent to and its outcome, so that the guard's lines, which carry the same id, have to be looked up
+ * at that node only. At most {@link #LINES_PER_SECOND} are written; the next line contains the
+ * number of lines omitted. Thread-safe.
  */
 final class RequestLog {
-    /** Lines of one node in a second: about 10 KB, whatever the load. */
+    /** Most lines of one node per second: about 10 KB, whatever the load. */
     static final int LINES_PER_SECOND = 40;
 
-    /** One in so many requests that ended well leaves a line. */
+    /** One in this many successful requests is logged. */
     static final int SAMPLE_INTERVAL = 16;
 
     private final BoundedLog mLog;
     private final AtomicLong mSuccessCount = new AtomicLong();
 
     /**
-     * How a request ended.
+     * The end of a request.
      *
-     * @param id identifier that the caller gave it
+     * @param id identifier that the caller assigned
      * @param route its route
      * @param service the service that was chosen for it
-     * @param outcome what its caller was told
-     * @param steps what was tried, in order
-     * @param tookMillis time from its head to the decision, in milliseconds
-     * @param version version of the configuration that it was routed by
+     * @param outcome the outcome that was sent to its caller
+     * @param steps the attempts and their outcomes, in order
+     * @param tookMillis time from the arrival of its head to its end, in milliseconds
+     * @param version version of the configuration that it was routed with
      * @param origin address of the caller
      */
     record EndedRequest(
@@ -53,7 +55,7 @@
 
     private record EndedRequestLine(EndedRequest request, long leftOut) {}
 
-    /** A request that was not let in; its key, right or wrong, is never written. */
+    /** A request that was denied; its API key, valid or not, is never logged. */
     private record DeniedRequestLine(
             String id, String route, Access.Reason reason, String origin, long leftOut) {}
 
@@ -63,12 +65,12 @@
                         Logger.getLogger("org.apricotgauge.requests"), ticker, LINES_PER_SECOND);
     }
 
-    /** Returns whether a request that ended well is in the sample. */
+    /** Returns whether the next successful request is in the sample; counts the request. */
     boolean shouldSample() {
         return mSuccessCount.getAndIncrement() % SAMPLE_INTERVAL == 0;
     }
 
-    /** Tells of a request that was refused for what it brought to show whom it comes from. */
+    /** Logs a request that was denied because of its credentials. */
     void logDenied(String id, String route, Access.Reason reason, String origin) {
         mLog.info(
                 "request denied",
--- a/src/main/java/org/apricotgauge/caller/Requester.java
+++ b/src/main/java/org/apricotgauge/caller/Requester.java
@@ -7,37 +7,37 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /**
- * Who asks.
+ * The sender of a request.
  *
- * @param member the member as the configuration has it, if the request proved to come from one
- * @param memberId its id, or what a request without proof calls itself
- * @param removesAuthorization whether the fleet itself reads credentials, so that targets get none
+ * @param member the configured member, if the request was authenticated as one
+ * @param memberId its id, or the id that an unauthenticated request names
+ * @param removesAuthorization whether the fleet reads the credentials, so that targets get none
  */
 record Requester(Optional<Member> member, String memberId, boolean removesAuthorization) {
 
-    /** Returns a requester that proved to be the member; nobody if there is none. */
+    /** Returns the requester of an authenticated request; anonymous if there is no member. */
     static Requester authenticated(Optional<Member> member) {
         return new Requester(member, member.map(Member::id).orElse(Member.ANONYMOUS_ID), true);
     }
 
-    /** Returns a requester that is believed what it says, since no member has a key. */
+    /** Returns a requester whose id is not verified, since no member has a key. */
     static Requester unauthenticated(Optional<String> memberId) {
         return new Requester(Optional.empty(), memberId.orElse(Member.ANONYMOUS_ID), false);
     }
 
-    /** Removes the credentials from a request on its way to a target. */
+    /** Removes the credentials from a request to a target. */
     void removeCredentials(HttpFields.Mutable headers) {
         if (removesAuthorization) {
             headers.remove(HttpHeader.AUTHORIZATION);
         }
     }
 
-    /** Returns the rank of its requests on a route. */
+    /** Returns the priority of its requests on a route. */
     Priority priorityOr(Priority ofRoute) {
         return member.map(one -> one.priorityOr(ofRoute)).orElse(ofRoute);
     }
 
-    /** Returns the member that targets are told of. */
+    /** Returns the id that is sent to targets; empty for an anonymous request. */
     Optional<String> forwardedMemberId() {
         return memberId.equals(Member.ANONYMOUS_ID) ? Optional.empty() : Optional.of(memberId);
     }
--- a/src/main/java/org/apricotgauge/caller/RequesterResolver.java
+++ b/src/main/java/org/apricotgauge/caller/RequesterResolver.java
@@ -13,10 +13,10 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * Tells who asks, from what the request brings.
+ * Resolves the requester of a request from its headers.
  *
  * <pre>{@code
- * Optional<Requester> requester = reader.ofCaller(configuration, route, request);
+ * Optional<Requester> requester = resolver.resolveCaller(configuration, route, request);
  * }</pre>
  */
 final class RequesterResolver {
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Returns the requester of a caller's request; nothing if it may not come in.
+     * Returns the requester of a caller's request; empty if the request is denied.
      *
      * @throws IllegalArgumentException naming the header that is at fault
      */
@@ -50,7 +50,7 @@
         return Optional.empty();
     }
 
-    /** Returns the requester of a hop: another entry has let it in, perhaps by another version. */
+    /** Returns the requester of a hop; another entry granted access, perhaps by another version. */
     static Optional<Requester> resolveHop(
             Configuration configuration, Route route, Request request) {
         String id = request.getHeaders().get(HeaderNames.MEMBER);
--- a/src/main/java/org/apricotgauge/caller/TargetAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/TargetAttempt.java
@@ -1,14 +1,14 @@
 package org.apricotgauge.caller;
 
-/** One attempt of a caller's request at one target. */
+/** One attempt of a caller's request, at a target, the owner of its key or the predecessor. */
 interface TargetAttempt {
 
-    /** Starts it; its exchange hears how it ends. */
+    /** Starts the attempt; its exchange is notified of its end. */
     void send();
 
-    /** Gives it up without waiting; what has started is cancelled if that is possible. */
+    /** Abandons the attempt without waiting; cancels what has started if that is possible. */
     void abandon();
 
-    /** Tells it that its answer was passed on, or broke. */
+    /** Called when its answer has been forwarded or is not needed, or forwarding has failed. */
     void end();
 }
--- a/src/main/java/org/apricotgauge/caller/TargetSelector.java
+++ b/src/main/java/org/apricotgauge/caller/TargetSelector.java
@@ -16,22 +16,23 @@
 import org.apricotgauge.decision.routing.ServiceTable;
 
 /**
- * Chooses the targets of one request's attempts, one after the other.
+ * Selects the targets for the successive attempts of one request.
  *
- * <p>The first attempts look for a free slot and wait nowhere. The next ones wait at a target as
- * long as the answer can be of full use, the last ones to the deadline, also at targets that were
- * too busy before. Once all others are tried, the request goes to the target that is the least
- * likely to be sick, also to one that ran it without an answer if it may run again. Used by one
- * exchange, whose attempts follow each other; not thread-safe beyond that.
+ * <p>The first attempts look for a free slot and don't wait. The next ones wait at a target as long
+ * as the answer can meet the soft deadline, the last ones up to the deadline, including at targets
+ * that were busy before. Once all other targets have been tried, the request goes to the suspect
+ * target with the lowest degradation probability; if it is idempotent, this includes targets that
+ * ran it without an answer. Used by one exchange with sequential attempts; otherwise not
+ * thread-safe.
  */
 final class TargetSelector {
     /**
-     * Attempts that look for a free slot. With two thirds of all slots busy, three slots each, two
-     * tries miss a target with a free one in 1 of 11 requests, where one try does in 1 of 3.
+     * Attempts that look for a free slot. With two thirds of all slots busy and three slots per
+     * target, two attempts find no free slot for 1 in 11 requests, one attempt for 1 in 3.
      */
     static final int NO_WAIT_ATTEMPTS = 2;
 
-    /** Further attempts that wait while they can be of full use; the next ones wait to the end. */
+    /** Further attempts that wait up to the soft deadline; the next ones wait to the deadline. */
     static final int SOFT_DEADLINE_ATTEMPTS = 2;
 
     private final EntryContext mContext;
@@ -45,23 +46,23 @@
     private boolean mLastResort;
 
     /**
-     * Creates the choice of one request.
+     * Creates the selector of one request.
      *
-     * @param table the service as it is now: a request lives for seconds, and a target that began
-     *     to leave since it came would only refuse it, one hop and some milliseconds later
+     * @param table supplies the current service. A request may take seconds; a target that began to
+     *     leave after its arrival would refuse it, at the cost of a hop and some milliseconds
      */
-    TargetSelector(EntryContext context, Supplier<ServiceTable> table, boolean repeatable) {
+    TargetSelector(EntryContext context, Supplier<ServiceTable> table, boolean idempotent) {
         mContext = context;
         mTable = table;
-        mIdempotent = repeatable;
+        mIdempotent = idempotent;
     }
 
-    /** Returns whether the present attempt takes the risk of a target thought to be sick. */
+    /** Returns whether the current attempt goes to a suspect target as a last resort. */
     boolean isLastResort() {
         return mLastResort;
     }
 
-    /** Returns whether the present attempt may wait for a slot. */
+    /** Returns whether the current attempt may wait for a slot. */
     QueueingPolicy queueingPolicy() {
         if (mContext.targetAccess() != EntryOptions.TargetAccess.GUARDS_ONLY || mLastResort) {
             return QueueingPolicy.MAY_WAIT;
@@ -69,63 +70,63 @@
         if (mBusyRefusals < NO_WAIT_ATTEMPTS) {
             return QueueingPolicy.NO_WAIT;
         }
-        boolean seeksUse = mBusyRefusals < NO_WAIT_ATTEMPTS + SOFT_DEADLINE_ATTEMPTS;
-        return seeksUse ? QueueingPolicy.WHILE_USEFUL : QueueingPolicy.MAY_WAIT;
+        boolean waitsUntilSoftDeadline = mBusyRefusals < NO_WAIT_ATTEMPTS + SOFT_DEADLINE_ATTEMPTS;
+        return waitsUntilSoftDeadline ? QueueingPolicy.WHILE_USEFUL : QueueingPolicy.MAY_WAIT;
     }
 
     /**
-     * Returns the target of the next attempt, or nothing if none is left.
+     * Returns the target of the next attempt; empty if none is left.
      *
-     * @param last how the attempt before ended; null before the first
+     * @param lastOutcome outcome of the previous attempt; null before the first
      */
-    Optional<Candidate> next(Outcome last) {
-        recordOutcome(last);
-        Optional<Candidate> choice = choose(last);
-        while (choice.isPresent() && isGuardUnreachable(choice.get())) {
-            mTried.add(choice.get().target().id());
-            choice = choose(last);
+    Optional<Candidate> next(Outcome lastOutcome) {
+        recordOutcome(lastOutcome);
+        Optional<Candidate> candidate = choose(lastOutcome);
+        while (candidate.isPresent() && isGuardUnreachable(candidate.get())) {
+            mTried.add(candidate.get().target().id());
+            candidate = choose(lastOutcome);
         }
-        choice.ifPresent(candidate -> mTried.add(candidate.target().id()));
-        mLastCandidate = choice.orElse(null);
-        return choice;
+        candidate.ifPresent(one -> mTried.add(one.target().id()));
+        mLastCandidate = candidate.orElse(null);
+        return candidate;
     }
 
-    private void recordOutcome(Outcome last) {
+    private void recordOutcome(Outcome lastOutcome) {
         if (mLastCandidate == null) {
             return;
         }
         String id = mLastCandidate.target().id();
-        if (last instanceof Outcome.NotRun notRun && notRun.reason() == NotRunReason.BUSY) {
+        if (lastOutcome instanceof Outcome.NotRun notRun && notRun.reason() == NotRunReason.BUSY) {
             mBusy.add(id);
             mBusyRefusals++;
         }
-        if (isSuspect(last)) {
+        if (isSuspect(lastOutcome)) {
             mSuspects.put(id, mLastCandidate);
         }
         if (mBusyRefusals == NO_WAIT_ATTEMPTS
                 || mBusyRefusals == NO_WAIT_ATTEMPTS + SOFT_DEADLINE_ATTEMPTS) {
-            // From now on it waits longer, and the targets that were busy are as good as any.
+            // From now on, attempts wait longer, so the busy targets are candidates again.
             mTried.removeAll(mBusy);
             mBusy.clear();
         }
     }
 
-    private boolean isSuspect(Outcome last) {
-        if (last instanceof Outcome.NotRun notRun) {
+    private boolean isSuspect(Outcome lastOutcome) {
+        if (lastOutcome instanceof Outcome.NotRun notRun) {
             return notRun.reason() == NotRunReason.TARGET_SUSPECT;
         }
-        return mIdempotent && last instanceof Outcome.Unknown;
+        return mIdempotent && lastOutcome instanceof Outcome.Unknown;
     }
 
-    // Sent to a guard that has just refused connections, a request would use up its attempts there
-    // while other targets idle.
+    // At a guard that has just refused connections, a request would use up its attempts while other
+    // targets are idle.
     private boolean isGuardUnreachable(Candidate candidate) {
         return mContext.targetAccess() == EntryOptions.TargetAccess.GUARDS_ONLY
                 && !mContext.hasReachableGuard(candidate)
                 && !mTried.contains(candidate.target().id());
     }
 
-    private Optional<Candidate> choose(Outcome last) {
+    private Optional<Candidate> choose(Outcome lastOutcome) {
         if (mTried.isEmpty() && mIdempotent) {
             Optional<Candidate> probe =
                     mContext.probes()
@@ -139,15 +140,15 @@
         if (untried.isPresent()) {
             return untried;
         }
-        if (mayReachOnRetry(last)) {
-            // The only targets left are those whose path failed, or whose guard had not read the
-            // body in time; a new attempt may reach them.
+        if (mayReachOnRetry(lastOutcome)) {
+            // Only targets are left whose path failed, or whose guard didn't read the body in time;
+            // a new attempt may reach them.
             return balance(Set.of());
         }
         return leastDegraded();
     }
 
-    // Where every target is suspect, refusing the request would be worse than the risk of the best.
+    // If every target is suspect, a refusal is worse than the risk of the least degraded one.
     private Optional<Candidate> leastDegraded() {
         if (mLastResort) {
             return Optional.empty();
@@ -167,18 +168,18 @@
         return mTable.get().candidate(targetId);
     }
 
-    private Optional<Candidate> balance(Set<String> except) {
+    private Optional<Candidate> balance(Set<String> excluded) {
         return BalancingPolicy.choose(
-                mTable.get(), except, ThreadLocalRandom.current(), mContext.ticker().nanos());
+                mTable.get(), excluded, ThreadLocalRandom.current(), mContext.ticker().nanos());
     }
 
-    private static boolean mayReachOnRetry(Outcome last) {
-        if (last instanceof Outcome.NotRun notRun) {
+    private static boolean mayReachOnRetry(Outcome lastOutcome) {
+        if (lastOutcome instanceof Outcome.NotRun notRun) {
             return notRun.reason() == NotRunReason.FENCED
                     || notRun.reason() == NotRunReason.GUARD_RESTARTED
                     || notRun.reason() == NotRunReason.NEVER_SENT
                     || notRun.reason() == NotRunReason.BODY_UNREAD;
         }
-        return last instanceof Outcome.Unknown;
+        return lastOutcome instanceof Outcome.Unknown;
     }
 }
--- a/src/main/java/org/apricotgauge/caller/package-info.java
+++ b/src/main/java/org/apricotgauge/caller/package-info.java
@@ -1,2 +1,2 @@
-/** Callers: their requests, the attempts made for them, and what they are told. */
+/** The entry: handles callers' requests, the attempts made for them, and their final answers. */
 package org.apricotgauge.caller;
--- a/src/main/java/org/apricotgauge/predecessor/SharePolicy.java
+++ b/src/main/java/org/apricotgauge/predecessor/SharePolicy.java
@@ -6,17 +6,17 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Decides whether the fleet or the older routing system serves a request.
+ * Decides whether the fleet or its predecessor, the older routing system, serves a request.
  *
  * <pre>{@code
  * int bucket = SharePolicy.bucketOf("orders", "firm-3", "site", "/orders?day=7");
- * boolean fleet = SharePolicy.isFleets(bucket, service.fleetSharePercent());
+ * boolean servedByFleet = SharePolicy.isServedByFleet(bucket, service.fleetSharePercent());
  * }</pre>
  *
- * <p>A request falls into one of 100 buckets by its Idempotency-Key or else by member, host, path
- * and query, the same at every node and in every release; the fleet has the buckets below its
- * share. So a submission sent again stays on its side while the share stands, and a growing share
- * moves each bucket once.
+ * <p>A request is hashed into one of 100 buckets by its Idempotency-Key, or else by member, host,
+ * path and query, in the same way at every node and in every release. The fleet serves the buckets
+ * below its share. So a retried submission goes to the same system while the share is unchanged,
+ * and a growing share moves each bucket once.
  */
 public final class SharePolicy {
     private static final int BUCKET_COUNT = 100;
@@ -39,7 +39,7 @@
      *
      * @param service service that the request is for
      * @param member member that sent it
-     * @param host host it asks, in any case of letters
+     * @param host host that it is addressed to, compared case-insensitively
      * @param pathQuery path and query as sent
      */
     public static int bucketOf(String service, String member, String host, String pathQuery) {
@@ -57,7 +57,7 @@
         return (int) Long.remainderUnsigned(hash, BUCKET_COUNT);
     }
 
-    /** Returns whether the fleet serves a bucket while it has this share. */
+    /** Returns whether the fleet serves a bucket at the given share. */
     public static boolean isServedByFleet(int bucket, int fleetSharePercent) {
         Checks.inRange("bucket", bucket, 0, BUCKET_COUNT - 1);
         return bucket < fleetSharePercent;
--- a/src/main/java/org/apricotgauge/predecessor/package-info.java
+++ b/src/main/java/org/apricotgauge/predecessor/package-info.java
@@ -1,2 +1,2 @@
-/** What is shared with the older routing system while the fleet moves in. */
+/** The split of requests between the fleet and the older routing system during migration. */
 package org.apricotgauge.predecessor;
--- a/src/test/java/org/apricotgauge/caller/CapturingResponseTest.java
+++ b/src/test/java/org/apricotgauge/caller/CapturingResponseTest.java
@@ -21,7 +21,7 @@
     private final CapturingResponse mResponse =
             new CapturingResponse(null, new RecordingResponse(), 100, mScheduler);
 
-    /** Notes what is written; interim answers end when the test ends them. */
+    /** Records what is written; interim responses complete when the test completes them. */
     private final class RecordingResponse extends Response.Wrapper {
         RecordingResponse() {
             super(null, null);
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Runs the one pending task when told to. */
+    /** Runs the pending task on demand. */
     private static final class ManualScheduler extends AbstractLifeCycle implements Scheduler {
         private Runnable mPendingTask;
 
@@ -61,17 +61,21 @@
         }
     }
 
+    // Guards against an entry that takes a long booking for a dead path, and against two writes at
+    // the same time, which a response doesn't permit.
     @Test
     void sendsHeartbeatsUntilTheAnswerBeginsWithoutOverlap() {
         mResponse.sendHeartbeat();
         mScheduler.runPendingTask();
-        assertThat(mWritten).as("the first is still being written").containsExactly("interim 102");
+        assertThat(mWritten)
+                .as("the first interim response is still being written")
+                .containsExactly("interim 102");
         mInterimWrites.get(0).complete(null);
         mScheduler.runPendingTask();
         assertThat(mWritten).containsExactly("interim 102", "interim 102");
 
         mResponse.write(true, ByteBuffer.allocate(0), Callback.NOOP);
-        assertThat(mWritten).as("waits for the interim answer").hasSize(2);
+        assertThat(mWritten).as("the answer waits for the interim response").hasSize(2);
         mInterimWrites.get(1).complete(null);
 
         assertThat(mWritten).containsExactly("interim 102", "interim 102", "answer");
--- a/src/test/java/org/apricotgauge/caller/NestedCallPolicyTest.java
+++ b/src/test/java/org/apricotgauge/caller/NestedCallPolicyTest.java
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.junit.jupiter.api.Test;
 
-/** Which requests pass for calls of a target. */
+/** Tests which requests count as nested calls of a target. */
 class NestedCallPolicyTest {
     private final KvDialect mDialect = new KvDialect("booking");
     private final Set<String> mRunningIds = Set.of("a8abaea6");
@@ -23,8 +23,8 @@
 
     @Test
     void forgedParentIdIsIgnored() {
-        // A caller that wants to go before others names a request of its own making. No such
-        // request is at work beside this node, and it waits its turn.
+        // A caller that wants priority names a made-up parent. No such request is running at a
+        // target of this VM, so the request is handled as any other.
         HttpFields forged = request("made-up.2345ead5");
 
         assertThat(NestedCallPolicy.parentId(mDialect, forged, mRunningIds::contains)).isEmpty();
--- a/src/test/java/org/apricotgauge/caller/QuarantineCheckTest.java
+++ b/src/test/java/org/apricotgauge/caller/QuarantineCheckTest.java
@@ -27,8 +27,8 @@
             new ReplayableBody(new BytesRequestContent(FIRST, SECOND), 1_000);
     private int mHeadHashCount;
 
-    // Guards against a fingerprint that changes with the number of attempts, so that crashes of one
-    // request would never add up.
+    // Guards against a fingerprint that depends on the number of attempts, so that crashes of one
+    // request would not be counted together.
     @Test
     void resentBodyHasTheSameFingerprint() {
         QuarantineCheck check = check(true);
@@ -44,17 +44,17 @@
     void bodyDecidesForAQuarantinedHeadAndIsStillSentInFull() {
         quarantine(new Fingerprint(HEAD, hashOf(FIRST)));
         QuarantineCheck check = check(true);
-        List<Long> heldMillis = new ArrayList<>();
+        List<Long> quarantineMillis = new ArrayList<>();
 
-        check.whenIdentified(() -> heldMillis.add(check.remainingQuarantineMillis()));
+        check.whenIdentified(() -> quarantineMillis.add(check.remainingQuarantineMillis()));
 
-        assertThat(heldMillis).containsExactly(0L);
+        assertThat(quarantineMillis).containsExactly(0L);
         assertThat(readAll(check.hashedBody())).isEqualTo(FIRST.length + SECOND.length);
         quarantine(new Fingerprint(HEAD, hashOf(FIRST, SECOND)));
         assertThat(check.remainingQuarantineMillis()).isPositive();
     }
 
-    // Guards against holding up bodies, or hashing heads, while nothing is held.
+    // Guards against delaying bodies, or hashing heads, while nothing is quarantined.
     @Test
     void nothingIsReadWhileNothingIsQuarantined() {
         QuarantineCheck check = check(true);
--- a/src/test/java/org/apricotgauge/caller/TargetSelectorTest.java
+++ b/src/test/java/org/apricotgauge/caller/TargetSelectorTest.java
@@ -25,7 +25,7 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.junit.jupiter.api.Test;
 
-/** The way of one request over the targets of a service whose guards alone reach them. */
+/** Tests the target selection of one request where targets are reached through guards only. */
 class TargetSelectorTest {
     private static final int TARGETS = 4;
 
@@ -34,14 +34,14 @@
 
     @Test
     void waitsAtTheLeastLoadedTargetAfterTwoBusyRefusals() {
-        // Four targets of three slots, all busy, one with nothing waiting. The request is turned
-        // away twice without waiting; the answers tell the loads, and it queues at any of the four.
-        TargetSelector choice = selector();
-
-        Candidate first = choice.next(null).orElseThrow();
-        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.NO_WAIT);
-        Candidate second = choice.next(refused(NotRunReason.BUSY)).orElseThrow();
-        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.NO_WAIT);
+        // Four targets of three slots, all busy, one with an empty queue. The request is refused
+        // twice without waiting; the answers report the loads, and it may queue at any of the four.
+        TargetSelector selector = selector();
+
+        Candidate first = selector.next(null).orElseThrow();
+        assertThat(selector.queueingPolicy()).isEqualTo(QueueingPolicy.NO_WAIT);
+        Candidate second = selector.next(refused(NotRunReason.BUSY)).orElseThrow();
+        assertThat(selector.queueingPolicy()).isEqualTo(QueueingPolicy.NO_WAIT);
         assertThat(second).isNotSameAs(first);
         mCandidates.forEach(one -> one.load().reportLoad(2_000, mTicker.nanos()));
         first.load().reportLoad(1_000, mTicker.nanos());
@@ -54,71 +54,70 @@
     }
 
     private Candidate thirdChoice() {
-        TargetSelector choice = selector();
-        choice.next(null);
-        choice.next(refused(NotRunReason.BUSY));
-        Candidate third = choice.next(refused(NotRunReason.BUSY)).orElseThrow();
-        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
-        choice.next(refused(NotRunReason.BUSY));
-        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
-        choice.next(refused(NotRunReason.BUSY));
-        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.MAY_WAIT);
+        TargetSelector selector = selector();
+        selector.next(null);
+        selector.next(refused(NotRunReason.BUSY));
+        Candidate third = selector.next(refused(NotRunReason.BUSY)).orElseThrow();
+        assertThat(selector.queueingPolicy()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
+        selector.next(refused(NotRunReason.BUSY));
+        assertThat(selector.queueingPolicy()).isEqualTo(QueueingPolicy.WHILE_USEFUL);
+        selector.next(refused(NotRunReason.BUSY));
+        assertThat(selector.queueingPolicy()).isEqualTo(QueueingPolicy.MAY_WAIT);
         return third;
     }
 
     @Test
     void leastDegradedTargetIsTriedOnceAsLastResort() {
-        // All four guards think their targets sick and turn a booking away. It goes to the one that
-        // is the least likely to be sick, once, and is refused for good after that.
-        TargetSelector choice = selector();
+        // All four guards suspect their targets and refuse a booking. It goes to the target with
+        // the lowest degradation probability, once, and is then refused finally.
+        TargetSelector selector = selector();
         for (int i = 0; i < TARGETS; i++) {
             mCandidates.get(i).load().recordFailure(0.9 - 0.1 * i, mTicker.millis());
         }
-        Optional<Candidate> next = choice.next(null);
+        Optional<Candidate> next = selector.next(null);
         Set<Candidate> tried = new HashSet<>();
         for (int i = 0; i < TARGETS; i++) {
-            assertThat(choice.isLastResort()).isFalse();
+            assertThat(selector.isLastResort()).isFalse();
             tried.add(next.orElseThrow());
-            next = choice.next(refused(NotRunReason.TARGET_SUSPECT));
+            next = selector.next(refused(NotRunReason.TARGET_SUSPECT));
         }
 
         assertThat(tried).hasSize(TARGETS);
-        assertThat(choice.isLastResort()).isTrue();
-        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.MAY_WAIT);
+        assertThat(selector.isLastResort()).isTrue();
+        assertThat(selector.queueingPolicy()).isEqualTo(QueueingPolicy.MAY_WAIT);
         assertThat(next.orElseThrow()).isSameAs(mCandidates.get(TARGETS - 1));
-        assertThat(choice.next(refused(NotRunReason.QUEUE_FULL))).isEmpty();
+        assertThat(selector.next(refused(NotRunReason.QUEUE_FULL))).isEmpty();
     }
 
-    /**
-     * Guards against the early failure of a request that was broken off and that nobody else takes.
-     */
+    // Guards against the early failure of an idempotent request whose run was interrupted and that
+    // all other targets refuse.
     @Test
     void idempotentRequestReturnsToItsFirstTargetAsLastResort() {
-        TargetSelector choice = selector(true);
-        Candidate ran = choice.next(null).orElseThrow();
-        choice.next(new Outcome.Unknown(UnknownReason.STARTED));
+        TargetSelector selector = selector(true);
+        Candidate ran = selector.next(null).orElseThrow();
+        selector.next(new Outcome.Unknown(UnknownReason.STARTED));
         for (int i = 2; i < TARGETS; i++) {
-            choice.next(refused(NotRunReason.QUEUE_FULL));
+            selector.next(refused(NotRunReason.QUEUE_FULL));
         }
 
-        assertThat(choice.next(refused(NotRunReason.QUEUE_FULL))).containsSame(ran);
-        assertThat(choice.queueingPolicy()).isEqualTo(QueueingPolicy.MAY_WAIT);
-        assertThat(choice.next(refused(NotRunReason.QUEUE_FULL))).isEmpty();
+        assertThat(selector.next(refused(NotRunReason.QUEUE_FULL))).containsSame(ran);
+        assertThat(selector.queueingPolicy()).isEqualTo(QueueingPolicy.MAY_WAIT);
+        assertThat(selector.next(refused(NotRunReason.QUEUE_FULL))).isEmpty();
     }
 
     @Test
     void targetThatBeganLeavingAfterTheRequestArrivedIsSkipped() {
-        // A request is turned away by its first target. While it was there, all others but one said
-        // that they leave; chosen by what was known when it came, it would lose a hop to each.
-        TargetSelector choice = selector();
-        Candidate first = choice.next(null).orElseThrow();
+        // A request is refused by its first target. Meanwhile all others but one have begun to
+        // leave; with the targets as of its arrival, it would lose a hop to each of them.
+        TargetSelector selector = selector();
+        Candidate first = selector.next(null).orElseThrow();
 
-        Candidate stays = mCandidates.get(first == mCandidates.get(0) ? 1 : 0);
-        mCandidates.replaceAll(one -> one == first || one == stays ? one : leaving(one));
+        Candidate remaining = mCandidates.get(first == mCandidates.get(0) ? 1 : 0);
+        mCandidates.replaceAll(one -> one == first || one == remaining ? one : leaving(one));
 
-        assertThat(choice.next(refused(NotRunReason.TARGET_SUSPECT))).containsSame(stays);
-        choice.next(refused(NotRunReason.TARGET_SUSPECT));
-        assertThat(choice.isLastResort()).isTrue();
+        assertThat(selector.next(refused(NotRunReason.TARGET_SUSPECT))).containsSame(remaining);
+        selector.next(refused(NotRunReason.TARGET_SUSPECT));
+        assertThat(selector.isLastResort()).isTrue();
     }
 
     private static Candidate leaving(Candidate one) {
@@ -133,7 +132,7 @@
         return selector(false);
     }
 
-    private TargetSelector selector(boolean repeatable) {
+    private TargetSelector selector(boolean idempotent) {
         if (mCandidates.isEmpty()) {
             for (int i = 0; i < TARGETS; i++) {
                 mCandidates.add(candidate("t" + i, "10.0.0." + i));
@@ -158,7 +157,7 @@
                         null,
                         null);
         return new TargetSelector(
-                context, () -> ServiceTable.of(service, mCandidates, "entry", "here"), repeatable);
+                context, () -> ServiceTable.of(service, mCandidates, "entry", "here"), idempotent);
     }
 
     private static Candidate candidate(String id, String host) {
