--- a/src/main/java/org/apricotgauge/node/ControlEventRecorder.java
+++ b/src/main/java/org/apricotgauge/node/ControlEventRecorder.java
@@ -15,7 +15,7 @@
 import org.apricotgauge.event.WatchTakenOver;
 import org.apricotgauge.model.Vm;
 
-/** Records what changes at the control plane: suspicions, the watch, refused patches. */
+/** Records events of the control plane: suspicions, changes of the watcher, refused patches. */
 final class ControlEventRecorder {
     private final EventRecorder mEvents;
     private Set<String> mSuspected = Set.of();
@@ -25,7 +25,7 @@
         mEvents = events;
     }
 
-    /** Records which peers became suspected, and which were heard of again. */
+    /** Records which peers became suspected, and which are reachable again. */
     synchronized void recordView(VmView view) {
         Set<String> suspected = new HashSet<>();
         for (Vm vm : view.nodes()) {
@@ -35,11 +35,11 @@
         }
         for (String peer : suspected) {
             if (!mSuspected.contains(peer)) {
-                mEvents.record(new PeerSuspected(peer, "no node that was asked reaches it"));
+                mEvents.record(new PeerSuspected(peer, "no probed node can reach it"));
             }
         }
         for (String peer : mSuspected) {
-            // One that is gone for good was not heard of again; it has left.
+            // A peer that was removed or is leaving did not become reachable again.
             if (!suspected.contains(peer) && !view.leaving(peer) && view.vm(peer) != null) {
                 mEvents.record(new PeerAlive(peer, "a node reaches it"));
             }
@@ -49,12 +49,12 @@
 
     /** Records whether this node took over or released the watch of the platform. */
     synchronized void recordRole(WatcherElection.Role role) {
-        boolean watched = mRole == WatcherElection.Role.WATCH;
-        boolean watches = role == WatcherElection.Role.WATCH;
-        if (watches && !watched) {
+        boolean wasWatcher = mRole == WatcherElection.Role.WATCH;
+        boolean isWatcher = role == WatcherElection.Role.WATCH;
+        if (isWatcher && !wasWatcher) {
             mEvents.record(new WatchTakenOver("elected in its failure domain"));
         }
-        if (watched && !watches) {
+        if (wasWatcher && !isWatcher) {
             boolean isLost = role == WatcherElection.Role.RETRY;
             mEvents.record(new WatchReleased(isLost ? "platform lost" : "another node watches"));
         }
@@ -65,14 +65,14 @@
     void recordRefusal(LogEntry entry, FoldResult.Refused refused) {
         long currentVersion = refused.history().version();
         RefusalReason first = refused.reasons().get(0);
-        long appliesTo =
-                first instanceof RefusalReason.NotOnCurrentVersion other
-                        ? other.baseVersion()
+        long baseVersion =
+                first instanceof RefusalReason.NotOnCurrentVersion reason
+                        ? reason.baseVersion()
                         : currentVersion;
         mEvents.record(
                 new PatchRefused(
                         "position " + entry.position(),
-                        Math.max(0, appliesTo),
+                        Math.max(0, baseVersion),
                         currentVersion,
                         first.message()));
     }
--- a/src/main/java/org/apricotgauge/node/CrashMessageTransport.java
+++ b/src/main/java/org/apricotgauge/node/CrashMessageTransport.java
@@ -13,8 +13,8 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Carries what nodes tell each other of crashes, one message a datagram; {@link
- * org.apricotgauge.decision.quarantine.CrashGossip} makes up for those that are lost.
+ * Sends and receives crash messages, one per datagram; {@link
+ * org.apricotgauge.decision.quarantine.CrashGossip} makes up for lost ones.
  */
 final class CrashMessageTransport implements AutoCloseable {
     private static final ObjectMapper MAPPER = mapper();
@@ -23,12 +23,12 @@
 
     private final DatagramPort mPort;
 
-    /** Creates a carrier on a port that others may share. */
+    /** Creates a transport on a port that others may share. */
     CrashMessageTransport(DatagramPort port) {
         mPort = port;
     }
 
-    // Arrays: names of fields would be half of a message.
+    // Written as arrays, since field names would be half of a message.
     private static ObjectMapper mapper() {
         ObjectMapper mapper =
                 new ObjectMapper(new MessagePackFactory())
@@ -44,7 +44,7 @@
         try {
             return WRITER.writeValueAsBytes(message);
         } catch (IOException e) {
-            throw new IllegalStateException("a message can always be written", e);
+            throw new IllegalStateException("failed to encode a crash message", e);
         }
     }
 
@@ -53,16 +53,16 @@
     }
 
     /**
-     * Starts to listen.
+     * Opens a port and starts to listen.
      *
      * @param own own address
-     * @param receiver hears messages, on the port's own thread
-     * @throws IOException if the port can't be had
+     * @param receiver called with each message, on the port's own thread
+     * @throws IOException if the port can't be opened
      */
     static CrashMessageTransport start(
             Address own, Ticker ticker, BiConsumer<Address, CrashMessage> receiver)
             throws IOException {
-        DatagramPort port = DatagramPort.open(own, "crash news", ticker);
+        DatagramPort port = DatagramPort.open(own, "crash messages", ticker);
         port.listen((from, bytes, length) -> receiver.accept(from, decode(bytes, length)));
         return new CrashMessageTransport(port);
     }
--- a/src/main/java/org/apricotgauge/node/DatagramPort.java
+++ b/src/main/java/org/apricotgauge/node/DatagramPort.java
@@ -12,21 +12,21 @@
 import org.jboss.logging.Logger;
 
 /**
- * A UDP port at which a node hears one kind of news and from which it tells it.
+ * A UDP port that sends and receives datagrams.
  *
  * <pre>{@code
- * DatagramPort port = DatagramPort.open(own, "health news", ticker);
+ * DatagramPort port = DatagramPort.open(own, "health reports", ticker);
  * port.listen((from, bytes, length) -> ...);
  * port.send(bytes, to);
  * }</pre>
  *
- * <p>A datagram that can't be sent or read leaves a line in the log at most once a minute; what
- * rests on datagrams must do without any one of them.
+ * <p>A datagram that can't be sent or decoded is logged at most once a minute. Users must tolerate
+ * the loss of any datagram.
  */
 final class DatagramPort implements AutoCloseable {
     private static final Logger LOGGER = Logger.getLogger(DatagramPort.class);
 
-    /** VMs come and go; addresses of those that went are forgotten with all others. */
+    /** Addresses cached at most; since VMs come and go, the cache is cleared beyond this. */
     private static final int MAX_CACHED_ADDRESSES = 4_096;
 
     private static final int MAX_DATAGRAM_BYTES = 2_048;
@@ -38,15 +38,15 @@
     private final Map<Address, InetSocketAddress> mSocketAddresses = new ConcurrentHashMap<>();
     private volatile long mLastWarningMillis = Long.MIN_VALUE / 2;
 
-    /** Hears datagrams, on the port's own thread. */
+    /** Handles datagrams, on the port's own thread. */
     @FunctionalInterface
     interface Receiver {
         /**
-         * Takes a datagram.
+         * Handles a datagram.
          *
-         * @param from who sent it
-         * @param bytes holds it, until this returns
-         * @param length its length
+         * @param from address of the sender
+         * @param bytes buffer that holds the datagram; valid until this method returns
+         * @param length length of the datagram in bytes
          * @throws IOException if it is malformed
          */
         void onDatagram(Address from, byte[] bytes, int length) throws IOException;
@@ -62,8 +62,8 @@
      * Opens the port.
      *
      * @param own own address
-     * @param name what is told there, for the log
-     * @throws IOException if the port can't be had
+     * @param name kind of the messages, for the log and the thread's name
+     * @throws IOException if the port can't be opened
      */
     static DatagramPort open(Address own, String name, Ticker ticker) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
@@ -76,7 +76,7 @@
         return new DatagramPort(channel, name, ticker);
     }
 
-    /** Starts to hear. */
+    /** Starts a thread that receives datagrams until the port is closed. */
     void listen(Receiver receiver) {
         Thread thread = new Thread(() -> receiveUntilClosed(receiver), mName.replace(' ', '-'));
         thread.setDaemon(true);
@@ -96,7 +96,7 @@
             } catch (ClosedChannelException e) {
                 LOGGER.debugf("%s: closed", mName);
             } catch (IOException | RuntimeException e) {
-                warn("a datagram is not understood", e);
+                warn("malformed datagram", e);
             }
         }
     }
@@ -106,13 +106,13 @@
         try {
             mChannel.send(ByteBuffer.wrap(bytes), socketAddressOf(to));
         } catch (ClosedChannelException e) {
-            LOGGER.debugf("%s: closed, nothing is told to %s", mName, to);
+            LOGGER.debugf("%s: closed, nothing is sent to %s", mName, to);
         } catch (IOException e) {
-            warn("nothing is told to " + to, e);
+            warn("cannot send to " + to, e);
         }
     }
 
-    // Reading an IP number costs several times what sending a datagram does.
+    // Parsing an IP address costs several times as much as sending a datagram.
     private InetSocketAddress socketAddressOf(Address to) {
         if (mSocketAddresses.size() > MAX_CACHED_ADDRESSES) {
             mSocketAddresses.clear();
@@ -121,11 +121,11 @@
                 to, address -> new InetSocketAddress(address.host(), address.port()));
     }
 
-    private void warn(String what, Exception e) {
+    private void warn(String message, Exception e) {
         long nowMillis = mTicker.millis();
         if (nowMillis - mLastWarningMillis >= WARNING_INTERVAL_MILLIS) {
             mLastWarningMillis = nowMillis;
-            LOGGER.warnf("%s: %s: %s", mName, what, e);
+            LOGGER.warnf("%s: %s: %s", mName, message, e);
         }
     }
 
@@ -134,7 +134,7 @@
         try {
             mChannel.close();
         } catch (IOException e) {
-            LOGGER.warnf("%s: does not close: %s", mName, e);
+            LOGGER.warnf("%s: cannot close the port: %s", mName, e);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/node/DetectionService.java
+++ b/src/main/java/org/apricotgauge/node/DetectionService.java
@@ -23,14 +23,15 @@
 import org.apricotgauge.time.Ticker;
 
 /**
- * Feeds what this node sees and hears to the detectors, and publishes their verdicts.
+ * Passes this node's observations and the evidence of other nodes to the detectors, and publishes
+ * their verdicts.
  *
- * <p>Detectors exist for services that this node has seen work of. Observations come on request
- * threads; decisions are made by the given executor, regularly and when evidence crosses a
- * threshold.
+ * <p>Detectors exist for services whose requests this node has observed. Observations are recorded
+ * on request threads; decisions are made by the given executor, regularly and when evidence crosses
+ * a threshold.
  */
 final class DetectionService {
-    /** Detectors held at once, those that hold a target out of service not counted. */
+    /** Detectors kept at once, not counting those that keep a target out of service. */
     static final int MAX_DETECTORS = 256;
 
     private final ConcurrentMap<String, DetectorEntry> mDetectors = new ConcurrentHashMap<>();
@@ -41,7 +42,7 @@
     private final VerdictListener mListener;
     private final Executor mExecutor;
 
-    /** A detector, and whether it has seen anything since it last decided. */
+    /** A detector, and whether it has new observations since its last decision. */
     private static final class DetectorEntry {
         private final Service mService;
         private final ServiceDetector mDetector;
@@ -61,10 +62,10 @@
         }
     }
 
-    /** Hears of verdicts. */
+    /** Receives verdicts. */
     @FunctionalInterface
     interface VerdictListener {
-        /** Called for each decision that changed a state; {@code before} may be null. */
+        /** Called after each decision; {@code before} is null if there was none. */
         void onVerdicts(String service, EjectionVerdicts before, EjectionVerdicts after);
     }
 
@@ -82,26 +83,29 @@
     }
 
     void recordObservation(
-            Target target, ObservationPoint end, ObservedOutcome outcome, long micros) {
+            Target target, ObservationPoint point, ObservedOutcome outcome, long micros) {
         Service service = mState.table().configuration().service(target.service());
         if (service == null) {
             return;
         }
         Observation observation =
                 new Observation(
-                        target.id(), end, outcome, micros, mTicker.millis(), Observation.NO_KEY);
+                        target.id(), point, outcome, micros, mTicker.millis(), Observation.NO_KEY);
         if (detectorOf(service, true).observe(observation)) {
             mExecutor.execute(() -> decide(service.id()));
         }
     }
 
-    /** Returns after which service time a request at a target of this VM counts as overdue. */
+    /**
+     * Returns the service time in microseconds after which a target of this VM counts as
+     * unresponsive.
+     */
     long unresponsiveAfterMicros(Target target) {
         DetectorEntry entry = mDetectors.get(target.service());
         return entry == null ? Long.MAX_VALUE : entry.mUnresponsiveAfterMicros;
     }
 
-    /** Takes in the evidence that another node's guard gave with an answer, or by gossip. */
+    /** Merges evidence that another node's guard sent with a response or by gossip. */
     void mergeRemoteEvidence(String vm, String serviceId, EvidenceDigest digest) {
         Service service = mState.table().configuration().service(serviceId);
         if (service != null) {
@@ -109,7 +113,7 @@
         }
     }
 
-    /** Returns this guard's own counts of one target of its VM. */
+    /** Returns this guard's own counts for one target of its VM. */
     EvidenceDigest guardDigest(Target target) {
         Service service = mState.table().configuration().service(target.service());
         if (service == null) {
@@ -127,12 +131,12 @@
         return new EvidenceDigest(all.formatVersion(), all.incarnation(), all.sequence(), own);
     }
 
-    /** Returns the last verdicts of a service; null if none were made. */
+    /** Returns the latest verdicts on a service, or null if there are none. */
     EjectionVerdicts verdictsOf(String service) {
         return mLastVerdicts.get(service);
     }
 
-    /** Decides about the services of which something was seen or is amiss. */
+    /** Decides on services that have new observations, no verdict yet or an unhealthy target. */
     void tick() {
         Configuration configuration = mState.table().configuration();
         mDetectors.keySet().removeIf(id -> configuration.service(id) == null);
@@ -147,9 +151,10 @@
         evict();
     }
 
-    // A node is asked for any of thousands of services, and a detector takes some 50 to 200 KB.
-    // Without a bound a node would outgrow its slot within the hour. The longest unused go first;
-    // one that holds a target out of service stays, or the target would get work again.
+    // A node may serve requests for any of thousands of services, and a detector takes some 50 to
+    // 200 KB. Without a bound a node would exceed its slot's memory within the hour. The least
+    // recently used are evicted first; one that keeps a target out of service stays, as the target
+    // would get requests again without it.
     private void evict() {
         int excess = mDetectors.size() - MAX_DETECTORS;
         if (excess <= 0) {
@@ -175,18 +180,18 @@
                         .anyMatch(one -> one.state() != VerdictState.HEALTHY);
     }
 
-    private ServiceDetector detectorOf(Service service, boolean news) {
+    private ServiceDetector detectorOf(Service service, boolean isUse) {
         DetectorEntry entry = mDetectors.get(service.id());
         if (entry == null || entry.mService != service) {
             entry = mDetectors.compute(service.id(), (id, old) -> updatedEntry(old, service));
         }
-        if (news) {
+        if (isUse) {
             entry.markUsed(mTicker.millis());
         }
         return entry.mDetector;
     }
 
-    /** Keeps the evidence when floor or odds change; the next decisions weigh it anew. */
+    /** Keeps the evidence when floor or odds change; later decisions use the new settings. */
     private DetectorEntry updatedEntry(DetectorEntry old, Service service) {
         if (old == null) {
             return new DetectorEntry(
@@ -202,7 +207,7 @@
             return;
         }
         entry.mHasNewObservations = false;
-        // Worked out at decisions, not for each request, which would wait for the detector's lock.
+        // Computed with decisions, not per request, which would wait for the detector's lock.
         entry.mUnresponsiveAfterMicros =
                 entry.mDetector.unresponsiveAfterMicros(ObservationPoint.GUARD);
         EjectionVerdicts verdicts =
--- a/src/main/java/org/apricotgauge/node/DirectoryControl.java
+++ b/src/main/java/org/apricotgauge/node/DirectoryControl.java
@@ -31,11 +31,11 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * The control of a fleet whose platform publishes the configuration whole and lets targets register
+ * The control of a fleet whose platform publishes the full configuration and where targets register
  * themselves.
  *
- * <p>A node's guard stands at the same port on every VM, so that a target's registration also tells
- * where its guard is. There is no gossip: the revision on each hop tells who lags, see {@link
+ * <p>Guards have the same port on every VM, so a target's registration also yields the address of
+ * its guard. There is no gossip: the revision on each hop shows which node lags, see {@link
  * DirectoryFeed}.
  */
 final class DirectoryControl implements NodeControl {
@@ -43,12 +43,12 @@
     private static final String UNREADABLE_HINTS = "directory.unreadable_hints";
 
     /**
-     * Least pause between two acknowledgements that tell the view's age, in milliseconds; on each
-     * of hundreds a second it would cost more than it is worth.
+     * Minimum interval between two acknowledgements that carry the view's age, in milliseconds; on
+     * each of hundreds a second it would cost more than it is worth.
      */
     static final long AGE_REPORT_INTERVAL_MILLIS = 10;
 
-    private final Dependencies mParts;
+    private final Dependencies mDependencies;
     private final SiteDefaults mDefaults;
     private final DirectoryFeed mFeed;
     private final PageCodec mCodec = new PageCodec();
@@ -61,22 +61,22 @@
     private volatile Mark mMark = new Mark("", "", 0);
 
     private DirectoryControl(
-            Dependencies parts,
+            Dependencies dependencies,
             PublishedSource platform,
             SiteDecoder decoder,
             SiteDefaults defaults,
             PlatformTimes times) {
-        mParts = parts;
+        mDependencies = dependencies;
         mDefaults = defaults;
         mMaxAgeMillis = times.maxViewAgeMillis();
         mFeed =
                 new DirectoryFeed(
                         new DirectoryFeed.Parts(
                                 platform,
-                                peer -> new PeerSource(parts.queryClient(), mCodec, peer),
+                                peer -> new PeerSource(dependencies.queryClient(), mCodec, peer),
                                 decoder,
-                                parts.worker(),
-                                parts.ticker(),
+                                dependencies.worker(),
+                                dependencies.ticker(),
                                 System::currentTimeMillis,
                                 ThreadLocalRandom.current(),
                                 times),
@@ -84,15 +84,19 @@
         mFeed.start();
     }
 
-    /** Returns what starts the control of a node that reads published keys. */
+    /** Returns a factory for the control of a node that reads published keys. */
     static Factory factory(
             Function<HttpClient, PublishedSource> platform,
             SiteDecoder decoder,
             SiteDefaults defaults,
             PlatformTimes times) {
-        return parts ->
+        return dependencies ->
                 new DirectoryControl(
-                        parts, platform.apply(parts.queryClient()), decoder, defaults, times);
+                        dependencies,
+                        platform.apply(dependencies.queryClient()),
+                        decoder,
+                        defaults,
+                        times);
     }
 
     private void onSiteChanged(SiteDirectory directory) {
@@ -105,23 +109,24 @@
         Set<String> leaving = updateTargets(directory.registrations());
         String version = "r" + published.version();
         mMark = new Mark(version, version, mFeed.newestRevision());
-        // Members first: a new target whose guard is not known yet would be passed over, and a node
-        // that has just started would refuse what it can serve.
+        // Members first: a new target whose guard is not known yet would be skipped, and a node
+        // that has just started would refuse requests that it can serve.
         List<Address> guards = guards();
-        mParts.listener().onMembers(new RegisteredMembers(leaving, peers()));
-        mParts.listener().onConfiguration(published.version(), mConfiguration, mMark);
+        mDependencies.listener().onMembers(new RegisteredMembers(leaving, peers()));
+        mDependencies.listener().onConfiguration(published.version(), mConfiguration, mMark);
         mFeed.setNodes(readerTree(), guards);
-        // Behind the tasks that change the table: the event stands where requests obey it.
+        // Queued after the tasks that change the table, so that the event is recorded only once
+        // requests follow the change.
         Set<String> before = mLeaving;
         mLeaving = leaving;
-        mParts.worker().execute(() -> recordLeaving(before, leaving));
+        mDependencies.worker().execute(() -> recordLeaving(before, leaving));
     }
 
     private void recordLeaving(Set<String> before, Set<String> leaving) {
         for (String id : leaving) {
             Target target = before.contains(id) ? null : mConfiguration.target(id);
             if (target != null) {
-                mParts.events().record(new TargetLeaving(target.service(), id, "platform"));
+                mDependencies.events().record(new TargetLeaving(target.service(), id, "platform"));
             }
         }
     }
@@ -192,19 +197,20 @@
 
     private List<Address> guards() {
         return mConfiguration.targets().stream()
-                .map(target -> new Address(target.host(), mParts.vm().guardPort()))
-                .filter(guard -> !guard.host().equals(mParts.vm().host()))
+                .map(target -> new Address(target.host(), mDependencies.vm().guardPort()))
+                .filter(guard -> !guard.host().equals(mDependencies.vm().host()))
                 .distinct()
                 .toList();
     }
 
     private List<SiteMembers.Peer> peers() {
         return mConfiguration.targets().stream()
-                .filter(target -> !target.host().equals(mParts.vm().host()))
+                .filter(target -> !target.host().equals(mDependencies.vm().host()))
                 .map(
                         target ->
                                 new SiteMembers.Peer(
-                                        new Address(target.host(), mParts.crashMessagePort()),
+                                        new Address(
+                                                target.host(), mDependencies.crashMessagePort()),
                                         target.failureDomain()))
                 .distinct()
                 .toList();
@@ -213,11 +219,11 @@
     private ReaderTree readerTree() {
         Set<ReaderTree.Node> nodes = new HashSet<>();
         for (Target target : mConfiguration.targets()) {
-            Address guard = new Address(target.host(), mParts.vm().guardPort());
+            Address guard = new Address(target.host(), mDependencies.vm().guardPort());
             nodes.add(new ReaderTree.Node(guard, target.failureDomain()));
         }
-        Address self = new Address(mParts.vm().host(), mParts.vm().guardPort());
-        return new ReaderTree(new ReaderTree.Node(self, mParts.vm().failureDomain()), nodes);
+        Address self = new Address(mDependencies.vm().host(), mDependencies.vm().guardPort());
+        return new ReaderTree(new ReaderTree.Node(self, mDependencies.vm().failureDomain()), nodes);
     }
 
     @Override
@@ -241,12 +247,13 @@
     }
 
     /**
-     * Peers learn it from the guard's refusals, which prove "not run", and from its closed port.
+     * Does nothing: peers learn of a stop from the guard's refusals, which prove "not run", and
+     * from its closed port.
      */
     @Override
     public void announceLeaving() {}
 
-    /** Evidence travels on answers alone. */
+    /** Does nothing: evidence is sent on responses only. */
     @Override
     public void publishEvidence(String key, long sequence, long lifetimeMillis, byte[] payload) {}
 
@@ -267,7 +274,7 @@
 
     @Override
     public long addHopHeaders(HttpFields.Mutable headers) {
-        Address guard = new Address(mParts.vm().host(), mParts.vm().guardPort());
+        Address guard = new Address(mDependencies.vm().host(), mDependencies.vm().guardPort());
         headers.put(
                 HeaderNames.DIRECTORY, mFeed.newestRevision() + String.valueOf(SEPARATOR) + guard);
         return mFeed.elapsedMillis();
@@ -283,46 +290,47 @@
         }
     }
 
-    // An older view confirms nothing that helps; and after a pause, the clock tells too little.
+    // An older view confirms nothing useful, and after a pause of the process the age would be too
+    // low.
     private boolean shouldReportAge(SiteView view) {
-        long nowMillis = mParts.ticker().millis();
-        long toldAtMillis = mAgeReportedAtMillis.get();
+        long nowMillis = mDependencies.ticker().millis();
+        long reportedAtMillis = mAgeReportedAtMillis.get();
         return view.ageMillis() < mMaxAgeMillis
                 && mFeed.mayAct()
-                && nowMillis - toldAtMillis >= AGE_REPORT_INTERVAL_MILLIS
-                && mAgeReportedAtMillis.compareAndSet(toldAtMillis, nowMillis);
+                && nowMillis - reportedAtMillis >= AGE_REPORT_INTERVAL_MILLIS
+                && mAgeReportedAtMillis.compareAndSet(reportedAtMillis, nowMillis);
     }
 
     @Override
     public void handleHopHeaders(HttpFields headers) {
         String text = headers.get(HeaderNames.DIRECTORY);
-        int at = text == null ? -1 : text.indexOf(SEPARATOR);
+        int separator = text == null ? -1 : text.indexOf(SEPARATOR);
         int colon = text == null ? -1 : text.lastIndexOf(':');
-        if (at < 0 || colon < at) {
+        if (separator < 0 || colon < separator) {
             return;
         }
         try {
-            long revision = Long.parseLong(text, 0, at, 10);
+            long revision = Long.parseLong(text, 0, separator, 10);
             int port = Integer.parseInt(text, colon + 1, text.length(), 10);
-            mFeed.hint(revision, new Address(text.substring(at + 1, colon), port));
+            mFeed.hint(revision, new Address(text.substring(separator + 1, colon), port));
         } catch (IllegalArgumentException e) {
-            mParts.metrics().counter(UNREADABLE_HINTS).inc();
+            mDependencies.metrics().counter(UNREADABLE_HINTS).inc();
         }
     }
 
     @Override
-    public void handleAcknowledgement(HttpFields headers, long askedMillis) {
+    public void handleAcknowledgement(HttpFields headers, long requestedAtMillis) {
         String text = headers.get(HeaderNames.SITE_VIEW);
-        int at = text == null ? -1 : text.indexOf(SEPARATOR);
-        if (at < 0) {
+        int separator = text == null ? -1 : text.indexOf(SEPARATOR);
+        if (separator < 0) {
             return;
         }
         try {
-            long revision = Long.parseLong(text, 0, at, 10);
-            long ageMillis = Long.parseLong(text, at + 1, text.length(), 10);
-            mFeed.recordPeerView(new SiteView(revision, ageMillis), askedMillis);
+            long revision = Long.parseLong(text, 0, separator, 10);
+            long ageMillis = Long.parseLong(text, separator + 1, text.length(), 10);
+            mFeed.recordPeerView(new SiteView(revision, ageMillis), requestedAtMillis);
         } catch (IllegalArgumentException e) {
-            mParts.metrics().counter(UNREADABLE_HINTS).inc();
+            mDependencies.metrics().counter(UNREADABLE_HINTS).inc();
         }
     }
 
@@ -338,7 +346,7 @@
         mFeed.close();
     }
 
-    /** The members as the targets registered. */
+    /** The members as derived from the targets' registrations. */
     private final class RegisteredMembers implements SiteMembers {
         private final Set<String> mLeavingIds;
         private final List<Peer> mPeers;
@@ -350,7 +358,7 @@
 
         @Override
         public Address guardOf(Target target) {
-            return new Address(target.host(), mParts.vm().guardPort());
+            return new Address(target.host(), mDependencies.vm().guardPort());
         }
 
         @Override
--- a/src/main/java/org/apricotgauge/node/EvidenceCodec.java
+++ b/src/main/java/org/apricotgauge/node/EvidenceCodec.java
@@ -9,9 +9,9 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Evidence as bytes for gossip and as text for a header: MessagePack, and that in base64url.
+ * Encodes evidence as MessagePack for gossip, and as base64url of that for a header.
  *
- * <p>Malformed evidence, or that of a release with other fields, reads as nothing.
+ * <p>Malformed evidence, or that of a release with other fields, decodes to an empty result.
  */
 final class EvidenceCodec {
     private static final int MAX_BYTES = 4_096;
@@ -25,7 +25,7 @@
         try {
             return MAPPER.writeValueAsBytes(digest);
         } catch (IOException e) {
-            throw new IllegalStateException("evidence that can't be written: " + digest, e);
+            throw new IllegalStateException("failed to encode evidence: " + digest, e);
         }
     }
 
--- a/src/main/java/org/apricotgauge/node/EvidenceHeaders.java
+++ b/src/main/java/org/apricotgauge/node/EvidenceHeaders.java
@@ -13,18 +13,18 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Puts the guard's evidence about a target on its answers, and reads it there.
+ * Writes the guard's evidence about a target to the headers of its responses, and reads it there.
  *
- * <p>Each entry thus learns what all entries together showed the guard, at no message of its own.
- * The text is made anew at most every {@link #REFRESH_MILLIS}, not for each answer, and all texts
+ * <p>Each entry thus gets the guard's observations of all entries' requests without extra messages.
+ * The text is encoded at most every {@link #REFRESH_MILLIS}, not for each response, and all texts
  * together take at most {@link #BYTES_PER_SECOND}.
  */
 final class EvidenceHeaders {
-    /** How old the evidence on an answer may be. */
+    /** Maximum age of the evidence on a response, in milliseconds. */
     static final long REFRESH_MILLIS = 50;
 
-    // At 240 answers a second for each node, evidence on every one would be 50 KB a second, twice
-    // what control may cost. Counts are cumulative: what is left out comes with a later answer.
+    // At 240 responses a second for each node, evidence on each would be 50 KB a second, twice what
+    // control traffic may cost. Counts are cumulative: a later response has what is left out.
     static final int BYTES_PER_SECOND = 5_000;
 
     private final Ticker mTicker;
@@ -36,29 +36,30 @@
     private record CachedHeader(String text, long createdAtNanos) {}
 
     /**
-     * Creates a share.
+     * Creates an instance with the default bound.
      *
-     * @param digestOf the guard's own counts of one target
+     * @param digestSource returns the guard's own counts for one target
      */
-    EvidenceHeaders(Ticker ticker, Function<Target, EvidenceDigest> digestOf) {
-        this(ticker, digestOf, BYTES_PER_SECOND);
+    EvidenceHeaders(Ticker ticker, Function<Target, EvidenceDigest> digestSource) {
+        this(ticker, digestSource, BYTES_PER_SECOND);
     }
 
-    /** As above; {@code bytesPerSecond} bounds all texts together. */
-    EvidenceHeaders(Ticker ticker, Function<Target, EvidenceDigest> digestOf, int bytesPerSecond) {
+    /** Creates an instance; {@code bytesPerSecond} bounds all texts together. */
+    EvidenceHeaders(
+            Ticker ticker, Function<Target, EvidenceDigest> digestSource, int bytesPerSecond) {
         mTicker = ticker;
         mByteBudget = new TokenBucket(bytesPerSecond, bytesPerSecond, ticker.millis());
-        mDigestSource = digestOf;
+        mDigestSource = digestSource;
     }
 
     void write(Target target, HttpFields.Mutable headers) {
         long nowNanos = mTicker.nanos();
         CachedHeader cached = mCache.get(target.id());
-        boolean old =
+        boolean isStale =
                 cached == null
                         || nowNanos - cached.createdAtNanos()
                                 > TimeUnit.MILLISECONDS.toNanos(REFRESH_MILLIS);
-        if (old) {
+        if (isStale) {
             byte[] encoded = EvidenceCodec.encode(mDigestSource.apply(target));
             cached = new CachedHeader(EvidenceCodec.toHeader(encoded), nowNanos);
             mCache.put(target.id(), cached);
--- a/src/main/java/org/apricotgauge/node/EvidencePublisher.java
+++ b/src/main/java/org/apricotgauge/node/EvidencePublisher.java
@@ -13,18 +13,18 @@
 import org.apricotgauge.time.Ticker;
 
 /**
- * Spreads the guard's evidence about a target that is out of service.
+ * Publishes the guard's evidence about targets that are out of service.
  *
- * <p>Evidence travels on answers, and a target that gets no work gives none: without this, entries
- * that don't try the target themselves would never learn that it is well again. Spoken at most
- * every three seconds for each service, only if something new was seen, and only while one of this
- * VM's targets is out or was until just now.
+ * <p>Evidence is sent on responses, and an ejected target gives none: without this class, entries
+ * that don't probe the target themselves would never learn that it is healthy again. Evidence is
+ * published at most every three seconds for each service, only if it changed, and only while one of
+ * this VM's targets is unhealthy or recovered just now.
  */
 final class EvidencePublisher {
     private static final long INTERVAL_MILLIS = 3_000;
     private static final long LIFETIME_MILLIS = 60_000;
 
-    /** Evidence goes on this long after a target came back, so that the last entry hears of it. */
+    /** Evidence is published for this long after a recovery, so that every entry receives it. */
     private static final long AFTER_RECOVERY_MILLIS = 10_000;
 
     private final String mVm;
@@ -35,10 +35,10 @@
     private final Map<String, Long> mLastPublishedMillis = new HashMap<>();
     private final Map<String, List<EvidenceDigest.TargetEvidence>> mLastPublished = new HashMap<>();
 
-    /** Carries evidence to the fleet; see {@code ControlPlane.publishEvidence}. */
+    /** Sends evidence to the fleet; see {@code ControlPlane.publishEvidence}. */
     @FunctionalInterface
     interface Channel {
-        /** Spreads the payload until its lifetime is over or a later sequence replaces it. */
+        /** Publishes the payload until its lifetime is over or a later sequence replaces it. */
         void publish(String key, long sequence, long lifetimeMillis, byte[] payload);
     }
 
@@ -55,19 +55,19 @@
         List<EvidenceDigest> own = new ArrayList<>();
         for (EjectionVerdict verdict : verdicts.byTarget().values()) {
             Target target = mState.table().target(verdict.targetId());
-            boolean ours = target != null && target.vm().equals(mVm);
-            if (ours && isUnhealthyOrJustRecovered(verdict, nowMillis)) {
+            boolean isOwn = target != null && target.vm().equals(mVm);
+            if (isOwn && isUnhealthyOrJustRecovered(verdict, nowMillis)) {
                 own.add(mDetection.guardDigest(target));
             }
         }
-        Long spokenMillis = mLastPublishedMillis.get(service);
-        boolean tooSoon = spokenMillis != null && nowMillis - spokenMillis < INTERVAL_MILLIS;
+        Long lastMillis = mLastPublishedMillis.get(service);
+        boolean tooSoon = lastMillis != null && nowMillis - lastMillis < INTERVAL_MILLIS;
         if (own.isEmpty() || tooSoon) {
             return;
         }
         List<EvidenceDigest.TargetEvidence> targets = new ArrayList<>();
         own.forEach(digest -> targets.addAll(digest.targets()));
-        // All nodes together may speak 512 bytes a second; nothing new is not worth saying.
+        // All nodes together may publish 512 bytes a second, so unchanged evidence is not sent.
         if (targets.equals(mLastPublished.put(service, targets))) {
             return;
         }
@@ -80,11 +80,11 @@
             mLastUnhealthyMillis.put(verdict.targetId(), nowMillis);
             return true;
         }
-        Long outMillis = mLastUnhealthyMillis.get(verdict.targetId());
-        if (outMillis == null) {
+        Long unhealthyMillis = mLastUnhealthyMillis.get(verdict.targetId());
+        if (unhealthyMillis == null) {
             return false;
         }
-        if (nowMillis - outMillis > AFTER_RECOVERY_MILLIS) {
+        if (nowMillis - unhealthyMillis > AFTER_RECOVERY_MILLIS) {
             mLastUnhealthyMillis.remove(verdict.targetId());
             return false;
         }
--- a/src/main/java/org/apricotgauge/node/GossipControl.java
+++ b/src/main/java/org/apricotgauge/node/GossipControl.java
@@ -26,28 +26,28 @@
     private static final String SITE = "site";
     private static final byte[] EMPTY_PAGE = {};
 
-    private final Dependencies mParts;
+    private final Dependencies mDependencies;
     private final ControlEventRecorder mRecorder;
     private final PlatformClient mPlatform;
     private final ControlPlane<ConfigHistory> mPlane;
 
-    private GossipControl(Dependencies parts, URI platform, List<Address> seeds)
+    private GossipControl(Dependencies dependencies, URI platform, List<Address> seeds)
             throws IOException {
-        mParts = parts;
-        mRecorder = new ControlEventRecorder(parts.events());
+        mDependencies = dependencies;
+        mRecorder = new ControlEventRecorder(dependencies.events());
         mPlatform = HttpPlatformClient.open(platform);
         mPlane =
                 ControlPlane.start(
-                        ControlSettings.of(SITE, parts.vm()).withSeeds(seeds),
+                        ControlSettings.of(SITE, dependencies.vm()).withSeeds(seeds),
                         new ConfigHistoryFold(mRecorder::recordRefusal),
                         mPlatform,
                         new FleetListener(),
-                        parts.metrics());
+                        dependencies.metrics());
     }
 
-    /** Returns what starts the control of a node that reads the platform's list of patches. */
+    /** Returns a factory for the control of a node that reads the platform's list of patches. */
     static Factory factory(URI platform, List<Address> seeds) {
-        return parts -> new GossipControl(parts, platform, seeds);
+        return dependencies -> new GossipControl(dependencies, platform, seeds);
     }
 
     @Override
@@ -112,7 +112,7 @@
     public void addAcknowledgementHeaders(HttpFields.Mutable headers) {}
 
     @Override
-    public void handleAcknowledgement(HttpFields headers, long askedMillis) {}
+    public void handleAcknowledgement(HttpFields headers, long requestedAtMillis) {}
 
     @Override
     public CompletableFuture<byte[]> changesAfter(
@@ -126,45 +126,48 @@
         NodeHttp.stop(mPlatform::close);
     }
 
-    /** Hears what the fleet and the platform say. */
+    /** Passes updates of the fleet and the platform to the node. */
     private final class FleetListener implements ControlListener<ConfigHistory> {
         @Override
         public void onHistory(ConfigHistory history) {
-            mParts.listener()
+            mDependencies
+                    .listener()
                     .onConfiguration(history.version(), history.configuration(), markOf(history));
         }
 
         @Override
         public void onView(VmView view) {
             mRecorder.recordView(view);
-            mParts.listener().onMembers(SiteMembers.of(view, mParts.vm().id()));
+            mDependencies.listener().onMembers(SiteMembers.of(view, mDependencies.vm().id()));
         }
 
         @Override
         public void onLeaving(LeavingNotice notice) {
             if (notice.wholeVm()) {
-                mParts.events().record(new VmLeaving(notice.vm(), "peer"));
+                mDependencies.events().record(new VmLeaving(notice.vm(), "peer"));
             }
         }
 
         @Override
         public void onEvidence(GossipItem evidence) {
-            mParts.listener().onEvidence(evidence.node(), evidence.key(), evidence.payload());
+            mDependencies
+                    .listener()
+                    .onEvidence(evidence.node(), evidence.key(), evidence.payload());
         }
 
         @Override
         public Optional<HlcTimestamp> clockReading() {
-            return Optional.of(mParts.events().now());
+            return Optional.of(mDependencies.events().now());
         }
 
         @Override
         public void onClockReading(HlcTimestamp reading) {
-            mParts.events().observe(reading);
+            mDependencies.events().observe(reading);
         }
 
         @Override
         public void onFatalError(RuntimeException failure) {
-            mParts.listener().onFatalError(failure);
+            mDependencies.listener().onFatalError(failure);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/node/HealthReportService.java
+++ b/src/main/java/org/apricotgauge/node/HealthReportService.java
@@ -15,10 +15,11 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Tells other entries, by datagrams, how the targets of this VM are, and hears it of others.
+ * Sends health reports on the targets of this VM to other entries by datagrams, and applies those
+ * of other nodes.
  *
- * <p>A datagram that is lost is made up for by the next, or by the guard's refusal; nothing rests
- * on them but the choice of a target.
+ * <p>A lost datagram is made up for by the next one or by the guard's refusal; reports affect only
+ * the choice of a target.
  */
 final class HealthReportService implements AutoCloseable {
     private static final String TARGET = "target";
@@ -35,50 +36,55 @@
     private final Map<String, HealthReportPolicy> mPolicies = new ConcurrentHashMap<>();
 
     /**
-     * How a target is.
+     * The health and load of a target.
      *
-     * @param target its id
-     * @param health how likely it is to be sick, as text
-     * @param loadPermille requests running and waiting, in permille of its slots
+     * @param target id of the target
+     * @param health degradation estimate as text
+     * @param loadPermille requests running and queued, in permille of its slots
      */
     record HealthReport(String target, String health, int loadPermille) {}
 
     private HealthReportService(
-            DatagramPort port, int portNumber, RoutingState state, Ticker ticker, String domain) {
+            DatagramPort port,
+            int portNumber,
+            RoutingState state,
+            Ticker ticker,
+            String failureDomain) {
         mPort = port;
         mPortNumber = portNumber;
         mState = state;
         mTicker = ticker;
-        mFailureDomain = domain;
+        mFailureDomain = failureDomain;
     }
 
     /**
-     * Starts to listen.
+     * Opens the port and starts to listen.
      *
      * @param address own address; other nodes have the same port
-     * @throws IOException if the port can't be had
+     * @throws IOException if the port can't be opened
      */
     static HealthReportService start(
-            Address address, RoutingState state, Ticker ticker, String domain) throws IOException {
-        DatagramPort port = DatagramPort.open(address, "health news", ticker);
-        HealthReportService news =
-                new HealthReportService(port, address.port(), state, ticker, domain);
-        port.listen((from, bytes, length) -> news.handleReport(decode(bytes, length)));
-        return news;
+            Address address, RoutingState state, Ticker ticker, String failureDomain)
+            throws IOException {
+        DatagramPort port = DatagramPort.open(address, "health reports", ticker);
+        HealthReportService service =
+                new HealthReportService(port, address.port(), state, ticker, failureDomain);
+        port.listen((from, bytes, length) -> service.handleReport(decode(bytes, length)));
+        return service;
     }
 
-    /** Notes that the node at the host sent a request for a target of this VM. */
+    /** Records that the node at the host sent a request for a target of this VM. */
     void recordUse(Target target, String host) {
-        boolean near =
+        boolean sameFailureDomain =
                 mState.table().configuration().targetsOn(host).stream()
                         .anyMatch(one -> one.failureDomain().equals(mFailureDomain));
         HealthReportPolicy policy = policyOf(target);
         synchronized (policy) {
-            policy.recordUse(host, near, mTicker.millis());
+            policy.recordUse(host, sameFailureDomain, mTicker.millis());
         }
     }
 
-    /** Tells whoever should know how a target of this VM is now. */
+    /** Sends the current health and load of a target of this VM to the entries that need it. */
     void sendReport(Target target, DegradationEstimate.Report health, int loadPermille) {
         HealthReportPolicy policy = policyOf(target);
         List<String> hosts;
@@ -95,21 +101,21 @@
         hosts.forEach(host -> mPort.send(bytes, new Address(host, mPortNumber)));
     }
 
-    // Written and read by hand: with 100 nodes, each hears some 50 lines a second.
-    static byte[] encode(HealthReport line) {
+    // The codec is written by hand for speed: with 100 nodes, each gets some 50 reports a second.
+    static byte[] encode(HealthReport report) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packMapHeader(FIELDS);
-            packer.packString(TARGET).packString(line.target());
-            packer.packString(HEALTH).packString(line.health());
-            packer.packString(LOAD).packInt(line.loadPermille());
+            packer.packString(TARGET).packString(report.target());
+            packer.packString(HEALTH).packString(report.health());
+            packer.packString(LOAD).packInt(report.loadPermille());
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("a line can always be written", e);
+            throw new IllegalStateException("failed to encode a health report", e);
         }
     }
 
     /**
-     * Reads a line; fields of a later release are passed over.
+     * Decodes a report; unknown fields, as of a later release, are skipped.
      *
      * @throws IOException if the datagram is malformed
      */
@@ -117,19 +123,19 @@
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
             String target = "";
             String health = "";
-            int load = 0;
+            int loadPermille = 0;
             int fields = unpacker.unpackMapHeader();
             for (int i = 0; i < fields; i++) {
                 switch (unpacker.unpackString()) {
                     case TARGET -> target = unpacker.unpackString();
                     case HEALTH -> health = unpacker.unpackString();
-                    case LOAD -> load = unpacker.unpackInt();
+                    case LOAD -> loadPermille = unpacker.unpackInt();
                     default -> unpacker.skipValue();
                 }
             }
-            return new HealthReport(target, health, load);
+            return new HealthReport(target, health, loadPermille);
         } catch (MessagePackException e) {
-            throw new IOException("not a line on a target's health", e);
+            throw new IOException("malformed health report", e);
         }
     }
 
@@ -137,20 +143,20 @@
         return mPolicies.computeIfAbsent(target.id(), id -> new HealthReportPolicy());
     }
 
-    private void handleReport(HealthReport line) {
-        Target target = mState.table().target(line.target());
+    private void handleReport(HealthReport report) {
+        Target target = mState.table().target(report.target());
         if (target == null) {
             return;
         }
         mState.table()
                 .service(target.service())
-                .flatMap(service -> service.candidate(line.target()))
+                .flatMap(service -> service.candidate(report.target()))
                 .ifPresent(
                         candidate -> {
-                            DegradationEstimate.Report.parse(line.health())
-                                    .map(told -> told.receivedAt(mTicker.millis()))
+                            DegradationEstimate.Report.parse(report.health())
+                                    .map(estimate -> estimate.receivedAt(mTicker.millis()))
                                     .ifPresent(candidate.load()::reportDegradation);
-                            candidate.load().reportLoad(line.loadPermille(), mTicker.nanos());
+                            candidate.load().reportLoad(report.loadPermille(), mTicker.nanos());
                         });
     }
 
--- a/src/main/java/org/apricotgauge/node/Node.java
+++ b/src/main/java/org/apricotgauge/node/Node.java
@@ -49,7 +49,7 @@
     private static final long DRAIN_POLL_MILLIS = 20;
     private static final int WINDOW_COUNT = 64;
 
-    /** Peers hear of a stop within this time; until then they still send, and are served. */
+    /** Peers learn of a stop within this time; until then they still send, and are served. */
     static final long ANNOUNCE_MILLIS = 1_500;
 
     private final NodeProfile mProfile;
@@ -182,7 +182,7 @@
     }
 
     /**
-     * Starts a node; it opens to callers once it knows the configuration in force.
+     * Starts a node; it accepts callers once it has the configuration in force.
      *
      * @throws IOException if it cannot listen at one of its ports
      */
@@ -246,7 +246,7 @@
 
     private void openDatagramPort() throws IOException {
         Address own = datagramAddress();
-        DatagramPort port = DatagramPort.open(own, "node news", mTicker);
+        DatagramPort port = DatagramPort.open(own, "node datagrams", mTicker);
         mDatagramPort = port;
         mQuarantine.start(own, new CrashMessageTransport(port));
         mRateLimits.start(own, port);
@@ -255,9 +255,9 @@
 
     private void onDatagram(Address from, byte[] bytes, int length) throws IOException {
         if (TokenMessageCodec.isTokenMessage(bytes, length)) {
-            mRateLimits.received(from, TokenMessageCodec.decode(bytes, length));
+            mRateLimits.handleMessage(from, TokenMessageCodec.decode(bytes, length));
         } else {
-            mQuarantine.received(from, CrashMessageTransport.decode(bytes, length));
+            mQuarantine.handleMessage(from, CrashMessageTransport.decode(bytes, length));
         }
     }
 
@@ -273,9 +273,8 @@
         mControl.tick();
     }
 
-    // The caller port opens only once the configuration is known. Were it found in use only then,
-    // the
-    // node would have joined the fleet, and seem to have broken rather than be set up wrongly.
+    // The caller port opens only once the configuration is known. A port that is in use must fail
+    // the start, not appear as a fault of a node that has already joined the fleet.
     private static void requireFreePort(String host, int callerPort) throws IOException {
         try (ServerSocket probe = new ServerSocket()) {
             probe.setReuseAddress(true);
@@ -312,12 +311,12 @@
             }
             mPhase = NodePhase.SERVING;
         } catch (Exception e) {
-            mBrokenInvariant.complete(new IllegalStateException("caller port does not open", e));
+            mBrokenInvariant.complete(new IllegalStateException("caller port cannot be opened", e));
         }
     }
 
-    // A broken invariant means that this process no longer knows what it does; it must stop rather
-    // than act on it. Without this an exception would only end one scheduled task, silently.
+    // After a broken invariant the state can't be relied on, and the process must stop. Otherwise
+    // an exception would only cancel one scheduled task, silently.
     private Runnable failFast(Runnable work) {
         return () -> {
             try {
@@ -340,12 +339,12 @@
     }
 
     private boolean mayAct() {
-        // Control knows the configuration a moment before the table has it; without this, requests
-        // of that moment would be told 404.
+        // The control has the configuration shortly before the table does; without this check,
+        // requests in between would be answered with 404.
         return mControl.mayAct() && mState.table() != RoutingTable.EMPTY;
     }
 
-    /** Hears what is in force; does the work on the node's own thread. */
+    /** Applies updates of the control; those of the routing table on the node's own thread. */
     private final class ControlEvents implements NodeControl.Listener {
         @Override
         public void onConfiguration(
@@ -372,7 +371,7 @@
         }
     }
 
-    // Targets that register themselves change the configuration within a version.
+    // Targets that register themselves change the configuration without a new version.
     private void applyConfiguration(
             long version, Configuration configuration, NodeControl.Mark mark) {
         long before = mState.table().version();
@@ -386,18 +385,18 @@
         }
     }
 
-    /** Returns what the node does for callers now. */
+    /** Returns the phase of the node. */
     public NodePhase phase() {
         return mPhase;
     }
 
-    /** Returns the port at which callers are served; the one that was set until it is open. */
+    /** Returns the port for callers; the configured one until it is open. */
     public int callerPort() {
         int port = HttpServerFactory.portOf(mCallerServer);
         return port > 0 ? port : mProfile.vm().callerPort();
     }
 
-    /** Returns the port at which other nodes are served. */
+    /** Returns the port for other nodes. */
     public int guardPort() {
         return HttpServerFactory.portOf(mGuardServer);
     }
@@ -417,7 +416,7 @@
         return mAdmin.port();
     }
 
-    /** Returns whether a planned stop has come so far that its guard takes nothing new. */
+    /** Returns whether a planned stop has reached the point where the guard accepts no new work. */
     public boolean isDraining() {
         return mDraining;
     }
@@ -427,16 +426,15 @@
         return mRegistry;
     }
 
-    /**
-     * Returns a future that completes with the invariant that broke; the process must then stop.
-     */
+    /** Returns a future that completes once an invariant is broken; the process must then stop. */
     public CompletableFuture<RuntimeException> brokenInvariant() {
         return mBrokenInvariant;
     }
 
     /**
-     * Stops for good without cutting off a request: tells peers and callers, waits until peers have
-     * heard, takes nothing new, and lets all in flight end; bounded by the drain setting.
+     * Stops the node without interrupting requests: announces the stop to peers and callers, waits
+     * until peers know, refuses new requests and waits for those in flight; bounded by the drain
+     * setting.
      */
     public void drain() throws InterruptedException {
         if (mPhase == NodePhase.STOPPING) {
@@ -446,20 +444,21 @@
         recordStopPhase(StopPhase.ANNOUNCED);
         mControl.announceLeaving();
         long startMillis = mTicker.millis();
-        long untilMillis = startMillis + mProfile.drainMillis();
-        awaitIdle(Math.min(untilMillis, startMillis + mProfile.announceMillis()), false);
+        long deadlineMillis = startMillis + mProfile.drainMillis();
+        awaitIdle(Math.min(deadlineMillis, startMillis + mProfile.announceMillis()), false);
         recordStopPhase(StopPhase.DRAINING);
         mEntry.drain();
         mGuard.drain();
         mDraining = true;
-        boolean quiet = awaitIdle(untilMillis, true);
-        recordStopPhase(quiet ? StopPhase.DRAINED : StopPhase.TIMED_OUT);
+        boolean idle = awaitIdle(deadlineMillis, true);
+        recordStopPhase(idle ? StopPhase.DRAINED : StopPhase.TIMED_OUT);
         close();
     }
 
-    private boolean awaitIdle(long untilMillis, boolean endWhenQuiet) throws InterruptedException {
-        while (mTicker.millis() < untilMillis) {
-            if (endWhenQuiet && inFlight() == 0) {
+    private boolean awaitIdle(long deadlineMillis, boolean returnWhenIdle)
+            throws InterruptedException {
+        while (mTicker.millis() < deadlineMillis) {
+            if (returnWhenIdle && inFlight() == 0) {
                 return true;
             }
             TimeUnit.MILLISECONDS.sleep(DRAIN_POLL_MILLIS);
--- a/src/main/java/org/apricotgauge/node/NodeControl.java
+++ b/src/main/java/org/apricotgauge/node/NodeControl.java
@@ -12,68 +12,69 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Where a node learns the configuration and the members of its site from.
+ * The source of a node's configuration and of the members of its site.
  *
- * <p>{@link GossipControl} folds published patches and gossips with the other nodes; {@link
- * DirectoryControl} reads what the platform publishes under keys.
+ * <p>{@link GossipControl} applies published patches and gossips with the other nodes; {@link
+ * DirectoryControl} reads the keys that the platform publishes.
  */
 interface NodeControl extends AutoCloseable {
 
-    /** Returns a future that completes once the node may open to callers. */
+    /** Returns a future that completes once the node may accept callers. */
     CompletableFuture<Void> ready();
 
-    /** Returns whether this process may act on what it knows; cheap enough for each request. */
+    /** Returns whether this process may act on its state; cheap enough for each request. */
     boolean mayAct();
 
-    /** Tells the fleet that the VM's node is stopping. */
+    /** Announces to the fleet that this VM's node is stopping. */
     void announceLeaving();
 
-    /** Tells the fleet a piece of evidence, if there is a channel for it. */
+    /** Publishes evidence to the fleet, if the control has a channel for it. */
     void publishEvidence(String key, long sequence, long lifetimeMillis, byte[] payload);
 
-    /** Does what is due; called every {@code DECIDE_EVERY_MILLIS} on the worker. */
+    /** Runs periodic work; called every {@code TICK_INTERVAL_MILLIS} on the worker. */
     void tick();
 
     /** Returns the port of the control protocol; 0 if there is none. */
     int peerPort();
 
-    /** Returns what tells two nodes' histories apart. */
+    /** Returns the mark that distinguishes this node's history from that of another. */
     Mark mark();
 
     /**
-     * Returns whether what is known of the site is young enough to send work to targets by it;
-     * cheap enough for each request.
+     * Returns whether the view of the site is fresh enough to choose targets by it; cheap enough
+     * for each request.
      */
     boolean isSiteViewFresh();
 
-    /** Returns what is known of the site, and since when; cheap enough for each request. */
+    /** Returns the revision and age of the view of the site; cheap enough for each request. */
     SiteView siteView();
 
     /**
-     * Adds to a hop's head what the other node should know; returns a time to give to {@link
+     * Adds headers for the other node to a hop; returns the current time for {@link
      * #handleAcknowledgement}.
      */
     long addHopHeaders(HttpFields.Mutable headers);
 
-    /** Takes what a hop's head tells. */
+    /** Handles the headers that another node added to a hop. */
     void handleHopHeaders(HttpFields headers);
 
-    /** Adds to the acknowledgement of a request how old what this node knows is. */
+    /** Adds the age of this node's view to the acknowledgement of a request. */
     void addAcknowledgementHeaders(HttpFields.Mutable headers);
 
     /**
-     * Takes what the acknowledgement of a request tells.
+     * Handles the headers of the acknowledgement of a request.
      *
-     * @param askedMillis what {@link #addHopHeaders} returned for the request
+     * @param requestedAtMillis the time that {@link #addHopHeaders} returned for the request
      */
-    void handleAcknowledgement(HttpFields headers, long askedMillis);
+    void handleAcknowledgement(HttpFields headers, long requestedAtMillis);
 
     /**
-     * Answers a peer that asks what is published; empty if that is not what this node reads.
+     * Returns the published changes that a peer requested; empty if this node reads no published
+     * keys.
      *
      * @param afterRevision revision that the peer has
-     * @param waitMillis how long it waits for a change; 0 if it asks for a younger view
-     * @param compressed whether it takes compressed values
+     * @param waitMillis how long the peer waits for a change; 0 if it requests a fresher view
+     * @param compressed whether the peer accepts compressed values
      */
     CompletableFuture<byte[]> changesAfter(long afterRevision, long waitMillis, boolean compressed);
 
@@ -81,40 +82,40 @@
     void close();
 
     /**
-     * What tells two histories apart.
+     * Distinguishes two histories.
      *
      * @param versionDigest digest of the version in force; empty before the first
-     * @param historyDigest digest of all that was read up to the position; empty if there is none
-     * @param position how far the platform's history was read
+     * @param historyDigest digest of everything read up to the position; empty if there is none
+     * @param position position up to which the platform's history was read
      */
     record Mark(String versionDigest, String historyDigest, long position) {}
 
-    /** Hears what is in force; on any thread, must not block. */
+    /** Receives updates, on any thread; must not block. */
     interface Listener {
-        /** A later version is in force. */
+        /** Called when a later version is in force. */
         void onConfiguration(long version, Configuration configuration, Mark mark);
 
-        /** The members changed. */
+        /** Called when the members changed. */
         void onMembers(SiteMembers members);
 
-        /** Another node told evidence about its targets of a service. */
+        /** Called with another node's evidence about its targets of a service. */
         void onEvidence(String vm, String service, byte[] payload);
 
-        /** An invariant broke; the process must end. */
+        /** Called when an invariant is broken; the process must stop. */
         void onFatalError(RuntimeException failure);
     }
 
     /**
-     * What a control is made of.
+     * The dependencies of a control.
      *
      * @param vm the node's own VM, with the ports that it listens at
-     * @param crashMessagePort UDP port of every node for news of crashes; 0 if each has its own
-     * @param listener hears what is in force
+     * @param crashMessagePort UDP port of every node for crash messages; 0 if each has its own
+     * @param listener receives updates
      * @param events the node's events
-     * @param metrics takes counters
-     * @param worker the node's own thread
-     * @param ticker time of intervals
-     * @param queryClient carries questions to other guards
+     * @param metrics registry of the counters
+     * @param worker the node's own worker thread
+     * @param ticker monotonic clock
+     * @param queryClient HTTP client for queries to other guards and the platform
      */
     record Dependencies(
             Vm vm,
@@ -130,10 +131,10 @@
     @FunctionalInterface
     interface Factory {
         /**
-         * Starts it.
+         * Starts the control.
          *
          * @throws IOException if it cannot listen or connect
          */
-        NodeControl start(Dependencies parts) throws IOException;
+        NodeControl start(Dependencies dependencies) throws IOException;
     }
 }
--- a/src/main/java/org/apricotgauge/node/NodeEvents.java
+++ b/src/main/java/org/apricotgauge/node/NodeEvents.java
@@ -16,10 +16,10 @@
 import org.jboss.logging.Logger;
 
 /**
- * The node's events: kept for the time line and, but for frequent ones, logged.
+ * The node's events: kept for the timeline and, except for frequent ones, logged.
  *
- * <p>The clock travels on the hops' messages, so that the time line shows causes before effects
- * whatever the wall clocks say.
+ * <p>Hops carry the readings of a hybrid logical clock, so that the timeline shows causes before
+ * effects even if wall clocks differ.
  */
 final class NodeEvents implements EventRecorder {
     private static final int CAPACITY = 4_096;
@@ -45,27 +45,27 @@
         return mRing.read(since, limit);
     }
 
-    /** Returns a reading to send with a message. */
+    /** Returns the current clock reading as the text of a header. */
     String clockHeader() {
         return mClock.now().toString();
     }
 
-    /** Returns how many readings were left out, as they lay too far ahead of this node's clock. */
+    /** Returns how many readings were rejected as too far ahead of this node's clock. */
     long refusedReadings() {
         return mClock.refusedCount();
     }
 
-    /** Returns a reading to send ahead of news to another node. */
+    /** Returns the current clock reading, to be sent ahead of updates to another node. */
     HlcTimestamp now() {
         return mClock.now();
     }
 
-    /** Takes in a reading that came ahead of news. */
+    /** Advances the clock by a reading that was received ahead of updates. */
     void observe(HlcTimestamp reading) {
         mClock.observe(reading);
     }
 
-    /** Takes in the reading that came with a message; a malformed one is left out. */
+    /** Advances the clock by the reading in the headers; a malformed one is ignored. */
     void observe(HttpFields headers) {
         String text = headers.get(HeaderNames.CLOCK);
         if (text == null) {
@@ -74,7 +74,7 @@
         try {
             mClock.observe(HlcTimestamp.parse(text));
         } catch (IllegalArgumentException ignored) {
-            // A release that writes another form; the time line then orders by wall time.
+            // Of a release with another format; the timeline then orders by wall clock.
         }
     }
 }
--- a/src/main/java/org/apricotgauge/node/NodeHttp.java
+++ b/src/main/java/org/apricotgauge/node/NodeHttp.java
@@ -9,11 +9,11 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.jboss.logging.Logger;
 
-/** The threads, timers and HTTP clients that a node's entry and guard share. */
+/** The threads, timers and HTTP clients shared by a node's entry and guard. */
 final class NodeHttp {
     private static final int MAX_THREADS = 48;
 
-    /** A SYN that was lost is sent again after 1 s; another guard is tried sooner. */
+    /** A lost SYN is retransmitted after 1 s; another guard is tried sooner. */
     private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
     private static final long IDLE_TIMEOUT_MILLIS = 30_000;
@@ -22,7 +22,9 @@
     private static final int FENCING_CONNECTIONS_PER_GUARD = 64;
     private static final int MAX_QUEUED_REQUESTS = 4_096;
 
-    /** A stopped node has no work left; Jetty's own 5 s would outlast a platform's grace time. */
+    /**
+     * A stopped node has no work left; Jetty's default of 5 s would exceed a platform's grace time.
+     */
     private static final long STOP_TIMEOUT_MILLIS = 200;
 
     private final QueuedThreadPool mThreads = new QueuedThreadPool(MAX_THREADS);
@@ -62,22 +64,22 @@
         return mScheduler;
     }
 
-    /** Runs what must not hold up a port's own thread. */
+    /** Returns the executor for work that must not block a port's own thread. */
     Executor executor() {
         return mThreads;
     }
 
-    /** Carries attempts to guards. */
+    /** Returns the client that sends attempts to guards. */
     HttpClient forwardingClient() {
         return mForwardingClient;
     }
 
-    /** Carries fences, each over a connection of its own. */
+    /** Returns the client that sends fences, each over its own connection. */
     HttpClient fencingClient() {
         return mFencingClient;
     }
 
-    /** Reaches targets. */
+    /** Returns the client that sends requests to targets. */
     HttpClient targetClient() {
         return mTargetClient;
     }
@@ -90,19 +92,19 @@
         stop(mThreads::stop);
     }
 
-    /** Something that may fail to stop. */
+    /** A part whose stop may fail. */
     @FunctionalInterface
     interface Stoppable {
-        /** Stops it. */
+        /** Stops the part. */
         void stop() throws Exception;
     }
 
-    /** Stops one part; a failure must not keep the others from stopping. */
+    /** Stops one part; a failure is logged and must not keep the others from stopping. */
     static void stop(Stoppable part) {
         try {
             part.stop();
         } catch (Exception e) {
-            Logger.getLogger(NodeHttp.class).warnf("part of the node does not stop: %s", e);
+            Logger.getLogger(NodeHttp.class).warnf("cannot stop a part of the node: %s", e);
         }
     }
 }
--- a/src/main/java/org/apricotgauge/node/NodeMain.java
+++ b/src/main/java/org/apricotgauge/node/NodeMain.java
@@ -6,7 +6,7 @@
 import org.apricotgauge.log.Logs;
 import org.jboss.logging.Logger;
 
-/** The program {@code apricotgauge-node}; a SIGTERM drains it. */
+/** The program {@code apricotgauge-node}; a SIGTERM drains the node. */
 public final class NodeMain {
 
     private static final Logger LOGGER = Logger.getLogger(NodeMain.class);
@@ -25,7 +25,7 @@
 
     /** Serves until a signal ends the process; a SIGTERM drains the node first. */
     static ExitCode serve(Node node) throws InterruptedException {
-        // Settings are flags, which a running process can't be given anew.
+        // Settings are flags, which a running process can't reload.
         Signals.handle("HUP", () -> LOGGER.info("SIGHUP: flags do not change, nothing to reload"));
         CountDownLatch drained = new CountDownLatch(1);
         Thread drain =
--- a/src/main/java/org/apricotgauge/node/NodeObserver.java
+++ b/src/main/java/org/apricotgauge/node/NodeObserver.java
@@ -25,7 +25,7 @@
 import org.apricotgauge.time.Ticker;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Passes on what requests show: to detection, to the counts of each version, to the time line. */
+/** Passes the observations of requests to detection, the outcome counts and the timeline. */
 final class NodeObserver implements EntryObserver, GuardObserver {
     private static final int FIRST_ERROR_STATUS = 500;
 
@@ -48,11 +48,11 @@
             NodeEvents events,
             Ticker ticker,
             Supplier<NodeControl> control,
-            Supplier<Optional<HealthReportService>> news,
+            Supplier<Optional<HealthReportService>> healthReports,
             QuarantineService quarantine,
             int evidenceBytesPerSecond) {
         mState = state;
-        mHealthReports = news;
+        mHealthReports = healthReports;
         mQuarantine = quarantine;
         mFailedCalls = new RecentRequests(ticker);
         mRetries = new RecentRequests(ticker);
@@ -127,7 +127,7 @@
 
     @Override
     public void onAttemptArrived(Target target, String entryHost, HttpFields headers) {
-        mHealthReports.get().ifPresent(news -> news.recordUse(target, entryHost));
+        mHealthReports.get().ifPresent(reports -> reports.recordUse(target, entryHost));
         mEvents.observe(headers);
         mControl.get().handleHopHeaders(headers);
     }
@@ -135,12 +135,12 @@
     @Override
     public void onHealthObserved(
             Target target, DegradationEstimate.Report health, int loadPermille) {
-        mHealthReports.get().ifPresent(news -> news.sendReport(target, health, loadPermille));
+        mHealthReports.get().ifPresent(reports -> reports.sendReport(target, health, loadPermille));
     }
 
     @Override
-    public void onGuardAcknowledged(HttpFields headers, long askedMillis) {
-        mControl.get().handleAcknowledgement(headers, askedMillis);
+    public void onGuardAcknowledged(HttpFields headers, long requestedAtMillis) {
+        mControl.get().handleAcknowledgement(headers, requestedAtMillis);
     }
 
     @Override
@@ -173,7 +173,7 @@
 
     @Override
     public void onTargetEnded(Target target, List<BrokenRun> runs) {
-        mQuarantine.targetEnded(target, runs);
+        mQuarantine.recordTargetEnd(target, runs);
     }
 
     @Override
--- a/src/main/java/org/apricotgauge/node/NodeProfile.java
+++ b/src/main/java/org/apricotgauge/node/NodeProfile.java
@@ -8,20 +8,23 @@
 import org.apricotgauge.model.Vm;
 
 /**
- * What a node is, whatever platform it runs on.
+ * The settings of a node that don't depend on its platform.
  *
- * @param vm the node's own VM, with the ports that are set; 0 for any free one
- * @param drainMillis longest time that a stop takes
- * @param announceMillis how long a stopping node serves as before, until callers and peers know
- * @param maxCallerConnections callers' connections that the node accepts at once
- * @param readyPaths paths of the administration API that tell readiness, beside its own
- * @param listensEarly whether callers are let in before a configuration is known, and refused
- * @param healthReportAddress address at which the node hears of targets' health; null if nobody
- *     tells it
- * @param crashMessageAddress address at which the node hears of crashes; null for the peer port
- * @param evidenceBytesPerSecond most bytes of evidence that the node puts on its answers
- * @param limitTolerance what the operator tolerates beyond members' limits
- * @param entry what differs between sites on the way from callers
+ * @param vm the node's own VM, with the configured ports; 0 for any free one
+ * @param drainMillis maximum time that a stop takes
+ * @param announceMillis how long a stopping node serves as before, until callers and peers know of
+ *     the stop
+ * @param maxCallerConnections maximum number of concurrent connections of callers
+ * @param readyPaths further paths of the administration API that report readiness
+ * @param listensEarly whether the caller port opens before a configuration is known; requests are
+ *     refused until then
+ * @param healthReportAddress address at which the node receives health reports; null if it takes no
+ *     part in them
+ * @param crashMessageAddress address at which the node receives crash messages; null for the peer
+ *     port
+ * @param evidenceBytesPerSecond maximum bytes of evidence a second on the node's responses
+ * @param limitTolerance tolerance beyond members' limits
+ * @param entry options of the entry that differ between sites
  */
 record NodeProfile(
         Vm vm,
--- a/src/main/java/org/apricotgauge/node/NodeSettings.java
+++ b/src/main/java/org/apricotgauge/node/NodeSettings.java
@@ -19,7 +19,7 @@
 import org.apricotgauge.model.Vm;
 
 /**
- * The settings of one node.
+ * The settings of a node.
  *
  * <pre>{@code
  * NodeSettings.command().runAndExit(args, NodeMain::run);
@@ -27,16 +27,16 @@
  *
  * @param vm id of the VM that the node runs on, as in the platform's list
  * @param failureDomain failure domain of that VM
- * @param host IP number to listen at
- * @param callerPort port for callers; 0 for any free one, as the other ports
+ * @param host IP address to listen at
+ * @param callerPort port for callers; 0 for any free one, as with the other ports
  * @param guardPort port for other nodes' requests to the targets of this VM
  * @param peerPort port of the control protocol between nodes
  * @param adminPort port of the administration API
  * @param platform URL of the platform's service
- * @param seedPeers control addresses of nodes to ask first, may be empty
- * @param drainMillis longest time that a stop waits for requests in flight
- * @param maxCallerConnections callers' connections that the node accepts at once
- * @param log settings of the log
+ * @param seedPeers control addresses of nodes to contact first; may be empty
+ * @param drainMillis maximum time that a stop waits for requests in flight
+ * @param maxCallerConnections maximum number of concurrent connections of callers
+ * @param log log settings
  */
 public record NodeSettings(
         String vm,
@@ -62,11 +62,10 @@
                     SettingKinds.id(),
                     "Id of the VM that the node runs on, as the platform lists it.");
     private static final Setting<String> FAILURE_DOMAIN =
-            Setting.required(
-                    "failure-domain", SettingKinds.id(), "Failure domain that the VM stands in.");
+            Setting.required("failure-domain", SettingKinds.id(), "Failure domain of the VM.");
     private static final Setting<String> HOST =
             Setting.withDefault(
-                    "host", SettingKinds.ipNumber(), "127.0.0.1", "IP number to listen at.");
+                    "host", SettingKinds.ipNumber(), "127.0.0.1", "IP address to listen at.");
     private static final Setting<Integer> CALLER_PORT =
             Setting.withDefault("caller-port", SettingKinds.port(), 8_080, "Port for callers.");
     private static final Setting<Integer> GUARD_PORT =
@@ -91,19 +90,19 @@
                     "seed-peers",
                     SettingKinds.addresses(),
                     List.of(),
-                    "Control addresses of nodes to ask first, while the list of VMs is not known.");
+                    "Control addresses of nodes to contact first, until the list of VMs is known.");
     private static final Setting<Long> DRAIN_MILLIS =
             Setting.withDefault(
                     "drain-millis",
                     SettingKinds.millis(0, MAX_DRAIN_MILLIS),
                     DEFAULT_DRAIN_MILLIS,
-                    "Longest time that a stop waits for requests in flight.");
+                    "Maximum time that a stop waits for requests in flight.");
     private static final Setting<Integer> CONNECTIONS =
             Setting.withDefault(
                     "max-caller-connections",
                     SettingKinds.integer("connections", 1, MAX_CALLER_CONNECTIONS),
                     DEFAULT_CALLER_CONNECTIONS,
-                    "Callers' connections that the node accepts at once.");
+                    "Maximum number of concurrent connections of callers.");
 
     /** Checks the parts. */
     public NodeSettings {
@@ -117,7 +116,7 @@
         seedPeers = List.copyOf(seedPeers);
     }
 
-    /** Returns what the node is, apart from its platform. */
+    /** Returns the settings that don't depend on the platform. */
     NodeProfile profile() {
         return new NodeProfile(
                 new Vm(vm, failureDomain, host, callerPort, guardPort, peerPort, adminPort),
--- a/src/main/java/org/apricotgauge/node/NodeStatusSource.java
+++ b/src/main/java/org/apricotgauge/node/NodeStatusSource.java
@@ -13,7 +13,7 @@
 import org.apricotgauge.operator.Readiness;
 import org.apricotgauge.operator.ServiceStatus;
 
-/** Tells operators what the node is and does. */
+/** Provides the status of the node for the administration API. */
 final class NodeStatusSource {
     private final Vm mVm;
     private final long mIncarnation;
@@ -56,7 +56,7 @@
                 mWindows.read());
     }
 
-    /** Only services that this node has worked for: at full size there are thousands of others. */
+    /** Returns only services that this node has served; a large fleet has thousands of others. */
     private List<ServiceStatus> services() {
         List<ServiceStatus> services = new ArrayList<>();
         for (ServiceTable table : mState.table().services().values()) {
--- a/src/main/java/org/apricotgauge/node/PeerSource.java
+++ b/src/main/java/org/apricotgauge/node/PeerSource.java
@@ -17,12 +17,12 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpStatus;
 
-/** Another node as a source of what the platform published, asked over a new connection. */
+/** Reads the platform's published items from another node, over a new connection per query. */
 final class PeerSource implements PublishedSource {
-    /** A peer in reach answers within milliseconds; one that does not is not worth waiting for. */
+    /** A reachable peer responds within milliseconds; a slower one is not worth waiting for. */
     private static final long RESPONSE_TIMEOUT_MILLIS = 700;
 
-    /** All items of a site of a few hundred targets take well under this. */
+    /** All items of a site with a few hundred targets are well below this size. */
     private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
     private final HttpClient mClient;
@@ -55,13 +55,13 @@
                 .thenApply(this::decodePage);
     }
 
-    private PublishedPage decodePage(ContentResponse answer) {
-        if (answer.getStatus() != HttpStatus.OK_200) {
+    private PublishedPage decodePage(ContentResponse response) {
+        if (response.getStatus() != HttpStatus.OK_200) {
             throw new CompletionException(
-                    new IOException("peer answered with status " + answer.getStatus()));
+                    new IOException("peer responded with status " + response.getStatus()));
         }
         try {
-            return mCodec.decode(answer.getContent());
+            return mCodec.decode(response.getContent());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/org/apricotgauge/node/ProbeTokens.java
+++ b/src/main/java/org/apricotgauge/node/ProbeTokens.java
@@ -8,13 +8,13 @@
 import org.apricotgauge.time.Ticker;
 
 /**
- * Hands out the right to try an ejected target with one repeatable request.
+ * Grants permission to probe an ejected target with one idempotent request.
  *
- * <p>All entries together shall try a target about once a second, not each of them: the pause
- * between two tries of one entry grows with the number of nodes. Thread-safe.
+ * <p>All entries together should probe a target about once a second, so the interval between two
+ * probes by one entry grows with the number of nodes. Thread-safe.
  */
 final class ProbeTokens {
-    /** Pause for each node of the fleet; one try a second over all nodes. */
+    /** Interval for each node of the fleet; one probe a second over all nodes. */
     static final long INTERVAL_PER_NODE_MILLIS = 1_000;
 
     private final Ticker mTicker;
@@ -22,24 +22,24 @@
     private final ConcurrentMap<String, String> mTokens = new ConcurrentHashMap<>();
     private final ConcurrentMap<String, Long> mLastAcquiredMillis = new ConcurrentHashMap<>();
 
-    ProbeTokens(Ticker ticker, IntSupplier nodes) {
+    ProbeTokens(Ticker ticker, IntSupplier nodeCount) {
         mTicker = ticker;
-        mNodeCount = nodes;
+        mNodeCount = nodeCount;
     }
 
-    /** Notes that a target of the service is due to be tried. */
+    /** Offers a probe of the service's first target, unless the last one was too recent. */
     void offer(String service, List<String> targets) {
         if (targets.isEmpty()) {
             return;
         }
-        long pauseMillis = INTERVAL_PER_NODE_MILLIS * Math.max(1, mNodeCount.getAsInt());
-        Long givenMillis = mLastAcquiredMillis.get(service);
-        if (givenMillis == null || mTicker.millis() - givenMillis >= pauseMillis) {
+        long intervalMillis = INTERVAL_PER_NODE_MILLIS * Math.max(1, mNodeCount.getAsInt());
+        Long acquiredMillis = mLastAcquiredMillis.get(service);
+        if (acquiredMillis == null || mTicker.millis() - acquiredMillis >= intervalMillis) {
             mTokens.put(service, targets.get(0));
         }
     }
 
-    /** Takes the right to try a target of the service, if there is one. */
+    /** Returns the target of the service to probe, if one was offered, and removes the offer. */
     Optional<String> tryAcquire(String service) {
         String target = mTokens.remove(service);
         if (target != null) {
--- a/src/main/java/org/apricotgauge/node/QuarantineService.java
+++ b/src/main/java/org/apricotgauge/node/QuarantineService.java
@@ -27,11 +27,14 @@
 import org.apricotgauge.time.Ticker;
 import org.jboss.logging.Logger;
 
-/** Knows which requests crash targets, tells the other nodes, and lets operators look and lift. */
+/**
+ * Tracks requests that crash targets, gossips them to the other nodes, and lets operators list them
+ * and lift their quarantine.
+ */
 final class QuarantineService implements AdminSources.QuarantineSource {
     private static final Logger LOGGER = Logger.getLogger(QuarantineService.class);
 
-    /** Requests whose names are kept for operators. */
+    /** Requests whose names are kept for operators, at most. */
     private static final int MAX_REQUEST_NAMES = 1_024;
 
     private static final long FULL_LOG_INTERVAL_MILLIS = 60_000;
@@ -42,7 +45,7 @@
             Comparator.comparing(SiteMembers.Peer::failureDomain)
                     .thenComparing(peer -> peer.address().toString());
 
-    /** Requests that one line names at most. */
+    /** Requests that one log line lists at most. */
     private static final int MAX_LISTED_REQUESTS = 16;
 
     private final Ticker mTicker;
@@ -61,10 +64,10 @@
     private volatile long mLastFullLogMillis = Long.MIN_VALUE / 2;
 
     /**
-     * A request that a target took along when it ended.
+     * A request that was running at a target when the target ended.
      *
      * @param id identifier that the caller gave the request
-     * @param fingerprint what makes the request the same as others
+     * @param fingerprint fingerprint that equal requests share
      * @param request method, host and path
      */
     private record InterruptedRequest(String id, String fingerprint, String request) {}
@@ -72,12 +75,13 @@
     private record EndedTarget(String target, List<InterruptedRequest> runs, long leftOut) {}
 
     /**
-     * Creates the service; it tells nobody until it is started.
+     * Creates the service; it sends no messages until it is started.
      *
-     * @param domain the node's own failure domain
+     * @param failureDomain the node's own failure domain
      */
-    QuarantineService(String domain, Ticker ticker, NodeEvents events, MetricRegistry registry) {
-        mFailureDomain = domain;
+    QuarantineService(
+            String failureDomain, Ticker ticker, NodeEvents events, MetricRegistry registry) {
+        mFailureDomain = failureDomain;
         mTicker = ticker;
         mEvents = events;
         mLog = new BoundedLog(LOGGER, ticker, MAX_LOG_LINES_PER_SECOND);
@@ -88,15 +92,15 @@
         registry.gauge("quarantine.known", () -> mTable::size);
     }
 
-    /** Starts to tell and to hear; the port of the news is its owner's. */
-    synchronized void start(Address own, CrashMessageTransport news) {
-        mTransport = news;
+    /** Starts to send and handle messages; the caller owns the transport and closes it. */
+    synchronized void start(Address own, CrashMessageTransport transport) {
+        mTransport = transport;
         mOwnAddress = own;
         mPeers = peersOf(mKnownPeers, mFailureDomain, own);
     }
 
-    /** Takes a message of another node, on the port's thread. */
-    void received(Address from, CrashMessage message) {
+    /** Handles a message of another node, on the port's thread. */
+    void handleMessage(Address from, CrashMessage message) {
         mGossip.received(from, message);
     }
 
@@ -111,28 +115,35 @@
         }
     }
 
-    /** Puts the other nodes in an order that all share: neighbours are of one failure domain. */
+    /**
+     * Returns the other nodes in the order that all nodes share, in which those of one failure
+     * domain are adjacent.
+     */
     static CrashGossip.Peers peersOf(List<SiteMembers.Peer> peers, String domain, Address own) {
         SiteMembers.Peer self = new SiteMembers.Peer(own, domain);
         List<SiteMembers.Peer> sorted = new ArrayList<>(peers);
         sorted.sort(PEER_ORDER);
-        List<Address> after = new ArrayList<>(sorted.size());
-        sorted.stream().filter(peer -> PEER_ORDER.compare(peer, self) > 0).forEach(addTo(after));
-        sorted.stream().filter(peer -> PEER_ORDER.compare(peer, self) < 0).forEach(addTo(after));
-        List<Address> near =
+        List<Address> successors = new ArrayList<>(sorted.size());
+        sorted.stream()
+                .filter(peer -> PEER_ORDER.compare(peer, self) > 0)
+                .forEach(addTo(successors));
+        sorted.stream()
+                .filter(peer -> PEER_ORDER.compare(peer, self) < 0)
+                .forEach(addTo(successors));
+        List<Address> sameDomain =
                 sorted.stream()
                         .filter(peer -> peer.failureDomain().equals(domain))
                         .map(SiteMembers.Peer::address)
                         .toList();
-        return new CrashGossip.Peers(near, after);
+        return new CrashGossip.Peers(sameDomain, successors);
     }
 
     private static Consumer<SiteMembers.Peer> addTo(List<Address> addresses) {
         return peer -> addresses.add(peer.address());
     }
 
-    /** Takes in that a target ended while it ran requests, and tells others at once. */
-    void targetEnded(Target target, List<BrokenRun> runs) {
+    /** Records that a target ended while it ran requests, and gossips this at once. */
+    void recordTargetEnd(Target target, List<BrokenRun> runs) {
         mCrashes.inc();
         log(target, runs);
         runs.forEach(run -> mRequestNames.put(run.fingerprint(), run.request()));
@@ -143,7 +154,7 @@
     }
 
     private void log(Target target, List<BrokenRun> runs) {
-        List<InterruptedRequest> lost =
+        List<InterruptedRequest> interrupted =
                 runs.stream()
                         .limit(MAX_LISTED_REQUESTS)
                         .map(
@@ -153,19 +164,19 @@
                                                 run.fingerprint().toString(),
                                                 run.request()))
                         .toList();
-        mLog.info("target ended", leftOut -> new EndedTarget(target.id(), lost, leftOut));
+        mLog.info("target ended", leftOut -> new EndedTarget(target.id(), interrupted, leftOut));
     }
 
-    /** Does what is due; called by one thread. */
+    /** Runs periodic work; called by one thread. */
     void tick() {
         mTable.expire();
         mGossip.tick();
     }
 
     private void send(Address to, CrashMessage message) {
-        CrashMessageTransport news = mTransport;
-        if (news != null) {
-            news.send(to, message);
+        CrashMessageTransport transport = mTransport;
+        if (transport != null) {
+            transport.send(to, message);
         }
     }
 
@@ -190,10 +201,10 @@
             throw new IllegalArgumentException(
                     "fingerprint must be 16 hex digits, '-' and 16 hex digits");
         }
-        boolean known = mTable.release(parsed.get());
-        LOGGER.infof("an operator lifts what is held against %s: %s", fingerprint, known);
+        boolean isKnown = mTable.release(parsed.get());
+        LOGGER.infof("operator lifts the quarantine of %s, found: %s", fingerprint, isKnown);
         mGossip.tick();
-        return known;
+        return isKnown;
     }
 
     private String nameOf(Fingerprint fingerprint) {
@@ -201,7 +212,7 @@
         return name == null ? "not seen at this node" : name;
     }
 
-    /** Passes on, logs and counts what changes. */
+    /** Gossips and logs changes of the table. */
     private final class ChangeListener implements QuarantineListener {
         @Override
         public void quarantined(Fingerprint fingerprint, int crashes, long heldMillis) {
--- a/src/main/java/org/apricotgauge/node/RateLimitService.java
+++ b/src/main/java/org/apricotgauge/node/RateLimitService.java
@@ -25,11 +25,14 @@
 import org.apricotgauge.time.Ticker;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Gives the {@link DistributedRateLimiter} its datagrams, its clock and its turns. */
+/**
+ * Runs the {@link DistributedRateLimiter}: sends and receives its datagrams, passes it the time and
+ * expires its pending requests.
+ */
 final class RateLimitService implements MemberRateLimiter, AdminSources.AllotmentSource {
     private static final long EXPIRY_INTERVAL_MILLIS = 20;
 
-    /** Members whose requests are counted for operators. */
+    /** Members whose requests are counted for operators, at most. */
     private static final int MAX_COUNTED_MEMBERS = 4_096;
 
     private final RoutingState mState;
@@ -50,7 +53,7 @@
     private boolean mIsExpiryScheduled;
     private volatile DatagramPort mPort;
 
-    /** What became of one member's requests at this node. */
+    /** Decisions on one member's requests at this node. */
     private static final class Counts {
         private final LongAdder mGranted = new LongAdder();
         private final LongAdder mRefused = new LongAdder();
@@ -74,7 +77,7 @@
         mMessages = registry.counter("allotments.messages_sent");
     }
 
-    /** Starts to ask and to answer; the port is its owner's. */
+    /** Starts to send and handle messages; the caller owns the port and closes it. */
     synchronized void start(Address own, DatagramPort port) {
         mOwnAddress = own;
         mPort = port;
@@ -110,28 +113,28 @@
     }
 
     @Override
-    public void acquire(Member member, Consumer<RateLimitDecision> request) {
+    public void acquire(Member member, Consumer<RateLimitDecision> callback) {
         Consumer<RateLimitDecision> counted =
-                verdict -> {
-                    count(member.id(), verdict);
-                    request.accept(verdict);
+                decision -> {
+                    count(member.id(), decision);
+                    callback.accept(decision);
                 };
-        take(
-                desk ->
-                        desk.acquire(
+        runWithLimiter(
+                limiter ->
+                        limiter.acquire(
                                 member.id(),
                                 member.limit(),
                                 mTicker.millis(),
-                                verdict -> mDueCallbacks.add(() -> counted.accept(verdict))),
+                                decision -> mDueCallbacks.add(() -> counted.accept(decision))),
                 Runnable::run);
     }
 
-    private void count(String member, RateLimitDecision verdict) {
+    private void count(String member, RateLimitDecision decision) {
         Counts counts = mCounts.get(member, id -> new Counts());
-        if (verdict instanceof RateLimitDecision.Granted) {
+        if (decision instanceof RateLimitDecision.Granted) {
             mGranted.inc();
             counts.mGranted.increment();
-        } else if (verdict instanceof RateLimitDecision.Refused) {
+        } else if (decision instanceof RateLimitDecision.Refused) {
             mRefused.inc();
             counts.mRefused.increment();
         } else {
@@ -164,13 +167,13 @@
         return mLimiter == null ? "" : mLimiter.owner(member).toString();
     }
 
-    /** Takes a message of another node, on the port's thread. */
-    void received(Address from, TokenMessage message) {
-        take(desk -> desk.received(from, message, mTicker.millis()), mExecutor);
+    /** Handles a message of another node, on the port's thread. */
+    void handleMessage(Address from, TokenMessage message) {
+        runWithLimiter(limiter -> limiter.received(from, message, mTicker.millis()), mExecutor);
     }
 
-    // Requests go on outside the lock: they take other locks, and send.
-    private void take(Consumer<DistributedRateLimiter> work, Executor executor) {
+    // Callbacks run outside the lock: they acquire other locks and send messages.
+    private void runWithLimiter(Consumer<DistributedRateLimiter> work, Executor executor) {
         List<Runnable> due;
         synchronized (this) {
             work.accept(mLimiter);
@@ -194,6 +197,6 @@
         synchronized (this) {
             mIsExpiryScheduled = false;
         }
-        take(desk -> desk.expire(mTicker.millis()), mExecutor);
+        runWithLimiter(limiter -> limiter.expire(mTicker.millis()), mExecutor);
     }
 }
--- a/src/main/java/org/apricotgauge/node/RecentRequests.java
+++ b/src/main/java/org/apricotgauge/node/RecentRequests.java
@@ -6,16 +6,16 @@
 import org.apricotgauge.time.Ticker;
 
 /**
- * Requests at this VM's targets of which something is remembered while they may be at work.
+ * A set of request ids that are kept while the requests may still run at this VM's targets.
  *
- * <p>A target sends its calls to the node of its own VM, so that the entry that sees the calls and
- * the guard that sees the request that they are made for are one process. Thread-safe.
+ * <p>A target sends its calls to the node of its own VM, so the entry that handles the calls and
+ * the guard that handles the request behind them are one process. Thread-safe.
  */
 final class RecentRequests {
-    /** A request ends within its deadline; the longest known is 20 s. */
+    /** A request ends within its deadline; the longest deadline known is 20 s. */
     private static final long RETENTION_SECONDS = 20;
 
-    /** Far more than a VM's targets have slots for within {@link #RETENTION_SECONDS}. */
+    /** Far more than the slots of a VM's targets can run within {@link #RETENTION_SECONDS}. */
     private static final int MAX_REQUESTS = 4_096;
 
     private final Cache<String, Boolean> mRequests;
--- a/src/main/java/org/apricotgauge/node/RoutingState.java
+++ b/src/main/java/org/apricotgauge/node/RoutingState.java
@@ -21,18 +21,18 @@
 import org.apricotgauge.time.Ticker;
 
 /**
- * Keeps the routing table true to the configuration, the VMs and the verdicts.
+ * Keeps the routing table consistent with the configuration, the members and the verdicts.
  *
  * <pre>{@code
  * state.configurationChanged(version, configuration);
- * RoutingTable table = state.table();   // on a request's path
+ * RoutingTable table = state.table();   // for each request
  * }</pre>
  *
- * <p>Changes are serialised by a lock; readers take the present table from an atomic reference and
- * never wait.
+ * <p>Changes are serialized by a lock; readers get the current table from an atomic reference and
+ * never block.
  */
 final class RoutingState {
-    /** Runs of targets that are remembered to leave; those before them are long gone. */
+    /** Leaving targets kept at most; those before them ended long ago. */
     private static final int MAX_SELF_REPORTED = 4_096;
 
     private final AtomicReference<RoutingTable> mTable = new AtomicReference<>(RoutingTable.EMPTY);
@@ -52,7 +52,7 @@
                         this::guardOf, this::isLeaving, this::weightOf);
     }
 
-    /** Returns the present table; a request reads it once. */
+    /** Returns the current table; a request reads it once. */
     RoutingTable table() {
         return mTable.get();
     }
@@ -63,7 +63,7 @@
                         mTable.get(), version, configuration, mTargetStates, mTicker.nanos()));
     }
 
-    /** Takes what is known of the members and builds anew the services that it changes. */
+    /** Sets the members and rebuilds the tables of the services that they change. */
     synchronized void membersChanged(SiteMembers members) {
         mMembers = members;
         Set<String> services = new HashSet<>();
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Notes that a target itself said that it leaves, for as long as its run lasts and whatever the
-     * members say; returns whether that is news.
+     * Records that a target reported itself as leaving, for the rest of its life and regardless of
+     * the members; returns whether that was not recorded before.
      */
     boolean recordSelfReportedLeaving(Target target) {
         if (mSelfReportedLeaving.contains(target.id())) {
@@ -109,12 +109,12 @@
         return true;
     }
 
-    /** Returns whether a target must get no new work, by its word or by membership. */
+    /** Returns whether a target must get no new requests, by its own report or by the members. */
     boolean isLeaving(Target target) {
         return mSelfReportedLeaving.contains(target.id()) || mMembers.isLeaving(target);
     }
 
-    /** Returns how many nodes there are. */
+    /** Returns the number of nodes. */
     int nodeCount() {
         return mMembers.nodeCount();
     }
--- a/src/main/java/org/apricotgauge/node/SidecarMain.java
+++ b/src/main/java/org/apricotgauge/node/SidecarMain.java
@@ -7,7 +7,7 @@
 import org.apricotgauge.platform.kv.KvDialect;
 import org.apricotgauge.platform.kv.KvSource;
 
-/** The program {@code apricotgauge-sidecar}; a SIGTERM drains it, a SIGHUP changes nothing. */
+/** The program {@code apricotgauge-sidecar}; a SIGTERM drains the node, a SIGHUP has no effect. */
 public final class SidecarMain {
 
     private SidecarMain() {}
--- a/src/main/java/org/apricotgauge/node/SidecarSettings.java
+++ b/src/main/java/org/apricotgauge/node/SidecarSettings.java
@@ -34,18 +34,17 @@
  * @param guard address for other nodes' requests; the same port on every VM
  * @param admin address of the administration API
  * @param platform address of the platform's store
- * @param healthReportAddress address for datagrams on targets' health; the same port on every VM
- * @param crashMessageAddress address for datagrams on crashes of targets; the same port on every VM
- * @param floorShare least share of healthy capacity that ejections may leave
- * @param retryRatio most retries of the fleet for each request
- * @param retryBurst retries that the whole fleet may make in a window beside its ratio
+ * @param healthReportAddress address for health reports (UDP); the same port on every VM
+ * @param crashMessageAddress address for crash messages (UDP); the same port on every VM
+ * @param floorShare minimum share of healthy capacity that ejections may leave
+ * @param retryRatio maximum retries of the whole fleet for each request
+ * @param retryBurst retries that the whole fleet may make in a window in addition to its ratio
  * @param retryWindowSeconds length of the window that bounds retries
- * @param servesOnMillis how long a target takes requests once the platform has its word that it
- *     leaves
+ * @param servesOnMillis how long a target accepts requests once the platform knows that it leaves
  * @param heartbeatMillis how often a target writes its registration
- * @param stopSeconds longest time that a stop takes
- * @param limitTolerance what is tolerated beyond members' limits
- * @param log settings of the log
+ * @param stopSeconds maximum time that a stop takes
+ * @param limitTolerance tolerance beyond members' limits
+ * @param log log settings
  */
 public record SidecarSettings(
         String failureDomain,
@@ -76,41 +75,42 @@
     private static final long STOP_MARGIN_MILLIS = 1_000;
 
     /**
-     * How long a stopping node serves as before, in milliseconds: the platform asks for readiness
-     * once a second and sends callers elsewhere after two misses; half a second is for the last.
+     * How long a stopping node serves as before, in milliseconds: the platform checks readiness
+     * once a second and routes callers elsewhere after two failures; half a second is for the last
+     * ones.
      */
     private static final long ANNOUNCE_MILLIS = 2_700;
 
     /**
-     * Part of the allowed ratio that nodes use; the rest is for requests that are counted here but
-     * never came to be counted by the platform, as those of callers that gave up on their way.
+     * Share of the allowed ratio that nodes use; the rest is for requests that are counted here but
+     * not by the platform, such as those of callers that disconnected before it counted them.
      */
     private static final double USED_RATIO_SHARE = 0.8;
 
-    /** Part of the retries beside the ratio; the rest is for calls that a repeated run makes. */
+    /** Share of the allowed burst that nodes use; the rest is for nested calls of a retried run. */
     private static final double USED_BURST_SHARE = 0.85;
 
-    /** A false ejection costs what 300 s of work at a sick target cost; see the design's page. */
+    /**
+     * A false ejection costs as much as 300 s of work at a degraded target; see the design page.
+     */
     private static final DetectionOdds ODDS = new DetectionOdds(300, 1);
 
     /**
-     * Evidence for the slow tests of detection, in bytes a second. Health is told by datagrams
-     * here, and bytes between failure domains are priced. What this saves has not been measured
-     * alone.
+     * Evidence for the slow tests of detection, in bytes a second. Health is reported by datagrams
+     * here, and traffic between failure domains is charged.
      */
     private static final int EVIDENCE_BYTES_PER_SECOND = 500;
 
     /**
-     * Refusals by guards of suspect or busy targets count as attempts. They cost 5 ms each (median
-     * of 396 requests with six or more); with five tries, one booking in nine on the heaviest day
-     * measured (279 of 2,485) went to a suspect target for want of tries, and failed. Ten try each
-     * target of a service of today.
+     * Refusals by guards of suspect or busy targets count as attempts and cost 5 ms each (median of
+     * 396 requests with six or more). With five attempts, one booking in nine on the heaviest day
+     * measured (279 of 2,485) went to a suspect target because no attempts were left, and failed.
+     * Ten attempts reach each target of a present-day service.
      */
     private static final RetryPolicy RETRY_POLICY = new RetryPolicy(10, 20);
 
     private static final Setting<String> FAILURE_DOMAIN =
-            Setting.required(
-                    "failure-domain", SettingKinds.id(), "Failure domain that the VM stands in.");
+            Setting.required("failure-domain", SettingKinds.id(), "Failure domain of the VM.");
     private static final Setting<String> SERVICE =
             Setting.required(
                     "service", SettingKinds.id(), "Service of the target beside the node.");
@@ -125,7 +125,7 @@
             Setting.required(
                     "admin-address",
                     SettingKinds.address(),
-                    "Address of the administration API, which tells readiness.");
+                    "Address of the administration API, which reports readiness.");
     private static final Setting<Address> PLATFORM =
             Setting.required(
                     "store-address", SettingKinds.address(), "Address of the platform's store.");
@@ -133,30 +133,30 @@
             Setting.required(
                     "news-address",
                     SettingKinds.address(),
-                    "Address for datagrams on targets' health; the same port on every VM.");
+                    "Address for health reports (UDP); the same port on every VM.");
     private static final Setting<Address> CRASH_MESSAGES =
             Setting.required(
                     "crash-news-address",
                     SettingKinds.address(),
-                    "Address for datagrams on crashes of targets; the same port on every VM.");
+                    "Address for crash messages (UDP); the same port on every VM.");
     private static final Setting<Double> FLOOR =
             Setting.withDefault(
                     "floor-share",
                     orDefault(SettingKinds.decimal("share", 0, 1), 0.7),
                     0.7,
-                    "Least share of a service's healthy capacity that ejections may leave.");
+                    "Minimum share of a service's healthy capacity that ejections may leave.");
     private static final Setting<Double> RETRY_RATIO =
             Setting.withDefault(
                     "retry-ratio",
                     orDefault(SettingKinds.decimal("retries for each request", 0, 1), 0.2),
                     0.2,
-                    "Most retries of the whole fleet for each request.");
+                    "Maximum retries of the whole fleet for each request.");
     private static final Setting<Double> RETRY_BURST =
             Setting.withDefault(
                     "retry-burst",
                     orDefault(SettingKinds.decimal("retries", 0, 1_000_000), 60.0),
                     60.0,
-                    "Retries that the whole fleet may make in a window beside its ratio.");
+                    "Retries that the whole fleet may make in a window in addition to its ratio.");
     private static final Setting<Double> RETRY_WINDOW =
             Setting.withDefault(
                     "retry-window-seconds",
@@ -168,7 +168,7 @@
                     "serves-on-millis",
                     orDefault(SettingKinds.decimal("milliseconds", 100, 600_000), 1_600.0),
                     1_600.0,
-                    "How long a target takes requests once the platform has its word to leave.");
+                    "How long a target accepts requests once the platform knows that it leaves.");
     private static final Setting<Double> HEARTBEAT =
             Setting.withDefault(
                     "heartbeat-millis",
@@ -180,7 +180,7 @@
                     "stop-seconds",
                     orDefault(SettingKinds.decimal("seconds", 1, 600), 6.0),
                     6.0,
-                    "Longest time that a stop takes, until the platform kills the process.");
+                    "Maximum time that a stop takes, until the platform kills the process.");
 
     private static final Setting<Double> LIMIT_WINDOW =
             Setting.withDefault(
@@ -209,13 +209,13 @@
         Checks.notNull("guard", guard);
         Checks.notNull("admin", admin);
         Checks.notNull("platform", platform);
-        Checks.notNull("news", healthReportAddress);
-        Checks.notNull("crashNews", crashMessageAddress);
+        Checks.notNull("healthReportAddress", healthReportAddress);
+        Checks.notNull("crashMessageAddress", crashMessageAddress);
         Checks.notNull("limitTolerance", limitTolerance);
         Checks.notNull("log", log);
     }
 
-    /** A platform that bounds something leaves the value empty where the bound is not in force. */
+    /** Accepts an empty value as the default: the platform leaves a bound empty if it has none. */
     private static SettingKind<Double> orDefault(SettingKind<Double> kind, double otherwise) {
         return new SettingKind<>(
                 kind.allowed() + ", or nothing",
@@ -267,7 +267,9 @@
                 LogSettings.of(values));
     }
 
-    /** Returns what the node is, with the dialect and the readiness path of its platform. */
+    /**
+     * Returns the settings of the node, with the dialect and the readiness path of its platform.
+     */
     NodeProfile profile(SiteDialect dialect, String readyPath) {
         long stopMillis = (long) (stopSeconds * MILLIS_PER_SECOND) - STOP_MARGIN_MILLIS;
         return new NodeProfile(
@@ -297,12 +299,12 @@
                         guardRetryAllowance()));
     }
 
-    /** Returns the node's part of the retries that the whole fleet may make. */
+    /** Returns the node's share of the retries that the whole fleet may make. */
     private RetryAllowancePolicy guardRetryAllowance() {
         return RetryAllowancePolicy.ofFleet(retryBurst * USED_BURST_SHARE, retryWindowSeconds);
     }
 
-    /** Returns the times by which the platform lets targets leave. */
+    /** Returns the times that the platform grants to leaving targets. */
     PlatformTimes times() {
         return new PlatformTimes((long) servesOnMillis, (long) heartbeatMillis);
     }
--- a/src/main/java/org/apricotgauge/node/SidecarTraining.java
+++ b/src/main/java/org/apricotgauge/node/SidecarTraining.java
@@ -15,12 +15,12 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
 /**
- * Runs a sidecar once over a stand-in of its platform, so that the build can record which classes
- * it loads (class data sharing, {@code -XX:ArchiveClassesAtExit}).
+ * Runs a sidecar once with a stand-in of its platform, so that the build can archive the classes
+ * that it loads (class data sharing, {@code -XX:ArchiveClassesAtExit}).
  *
- * <p>After a loss of power all nodes start at once, at their full cost of processor time, and
- * callers wait for them. With the record a start takes 1.0 s of processor time in place of 1.4 s
- * (means of three starts each on a busy machine, from the process's own clock).
+ * <p>After a power failure all nodes start at once, and callers wait for them. With the archive a
+ * start takes 1.0 s of processor time instead of 1.4 s (means of three starts each on a busy
+ * machine, from the process's own clock).
  */
 public final class SidecarTraining {
     private static final String LOOPBACK = "127.0.0.1";
@@ -33,7 +33,7 @@
 
     private SidecarTraining() {}
 
-    /** Runs the training and ends the process; the exit code tells whether calls were served. */
+    /** Runs the training and exits the process; the exit code shows whether calls were served. */
     public static void main(String[] args) throws IOException {
         KvStandin platform = KvStandin.start(LOOPBACK, 0);
         platform.publish(LOOPBACK, SERVICE);
@@ -70,9 +70,9 @@
             threads.start();
             timers.start();
             HttpClientFactory.start(client);
-            long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
             int served = 0;
-            while (served < CALLS && System.nanoTime() < untilNanos) {
+            while (served < CALLS && System.nanoTime() < deadlineNanos) {
                 served += isServed(client, callerPort) ? 1 : 0;
             }
             return served == CALLS ? ExitCode.OK : ExitCode.NEGATIVE;
@@ -84,16 +84,16 @@
 
     private static boolean isServed(HttpClient client, int callerPort) {
         try {
-            ContentResponse answer =
+            ContentResponse response =
                     client.newRequest(LOOPBACK, callerPort)
                             .path(KvStandin.PATH)
                             .headers(headers -> KvStandin.address(headers, "training"))
                             .send();
-            if (answer.getStatus() == HttpStatus.OK_200) {
+            if (response.getStatus() == HttpStatus.OK_200) {
                 return true;
             }
         } catch (Exception e) {
-            // The caller port opens a moment after the process starts.
+            // The caller port opens shortly after the process starts.
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS));
         }
         return false;
--- a/src/main/java/org/apricotgauge/node/Signals.java
+++ b/src/main/java/org/apricotgauge/node/Signals.java
@@ -6,18 +6,18 @@
 import org.jboss.logging.Logger;
 
 /**
- * Handlers of signals that Java has no public interface for.
+ * Installs handlers of signals, for which Java has no public interface.
  *
- * <p>Without one, a SIGHUP ends the process as a SIGTERM does, and a platform that says "your
- * settings changed" would cut every request in flight. The JDK's module {@code jdk.unsupported}
- * keeps the handler; it is called by reflection, as the compiler knows it only with a warning.
+ * <p>Without a handler, a SIGHUP ends the process as a SIGTERM does, and a platform that signals a
+ * change of settings would interrupt every request in flight. The class is part of the JDK's module
+ * {@code jdk.unsupported}; it is called by reflection, as the compiler warns of a direct use.
  */
 final class Signals {
     private static final Logger LOGGER = Logger.getLogger(Signals.class);
 
     private Signals() {}
 
-    /** Calls the action at each signal of the name, such as "HUP", in place of what Java does. */
+    /** Calls the action at each signal of the name, such as "HUP", instead of Java's default. */
     static void handle(String name, Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -29,7 +29,7 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
         } catch (ReflectiveOperationException | RuntimeException e) {
-            LOGGER.warnf("SIG%s is not handled and ends the process: %s", name, e);
+            LOGGER.warnf("cannot handle SIG%s, which will end the process: %s", name, e);
         }
     }
 
--- a/src/main/java/org/apricotgauge/node/SiteDefaults.java
+++ b/src/main/java/org/apricotgauge/node/SiteDefaults.java
@@ -7,9 +7,9 @@
 /**
  * The settings of a service whose platform publishes none for it.
  *
- * @param floorPercent least healthy capacity that ejections may leave, in percent
- * @param detection the two odds of detection
- * @param retryPercent most retries, in percent of the requests
+ * @param floorPercent minimum healthy capacity that ejections may leave, in percent
+ * @param detection costs of false and of delayed ejections
+ * @param retryPercent maximum retries, in percent of the requests
  */
 record SiteDefaults(int floorPercent, DetectionOdds detection, int retryPercent) {
     private static final int ALL_PERCENT = 100;
--- a/src/main/java/org/apricotgauge/node/SiteMembers.java
+++ b/src/main/java/org/apricotgauge/node/SiteMembers.java
@@ -6,30 +6,30 @@
 import org.apricotgauge.model.Target;
 import org.apricotgauge.model.Vm;
 
-/** Which nodes there are, and which targets leave, beside what the configuration says. */
+/** The nodes of the site and its leaving targets, in addition to the configuration. */
 interface SiteMembers {
 
     /** Returns the address of the node beside a target, or null if there is none. */
     Address guardOf(Target target);
 
-    /** Returns whether a target must get no new work. */
+    /** Returns whether a target must get no new requests. */
     boolean isLeaving(Target target);
 
-    /** Returns how many nodes there are. */
+    /** Returns the number of nodes. */
     int nodeCount();
 
-    /** Returns the other nodes, at which datagrams are heard. */
+    /** Returns the other nodes, with their addresses for datagrams. */
     List<Peer> peers();
 
     /**
      * Another node.
      *
-     * @param address where it hears datagrams
-     * @param failureDomain where its VM stands
+     * @param address address at which it receives datagrams
+     * @param failureDomain failure domain of its VM
      */
     record Peer(Address address, String failureDomain) {}
 
-    /** Returns the members as the platform's list of VMs and the nodes' gossip tell them. */
+    /** Returns the members as of the platform's list of VMs and the nodes' gossip. */
     static SiteMembers of(VmView view, String ownVm) {
         return new SiteMembers() {
             @Override
--- a/src/main/java/org/apricotgauge/node/TokenMessageCodec.java
+++ b/src/main/java/org/apricotgauge/node/TokenMessageCodec.java
@@ -11,9 +11,10 @@
 import org.msgpack.value.ValueType;
 
 /**
- * Messages about tokens as MessagePack maps; crash news, which share the port, are arrays.
+ * Encodes and decodes rate limit messages as MessagePack maps.
  *
- * <p>Written and read by hand: there are two for each request of a member with a limit.
+ * <p>Crash messages, which share the UDP port, are arrays. The codec is written by hand for speed:
+ * each request of a member with a limit takes two messages.
  */
 final class TokenMessageCodec {
     private static final String ID = "id";
@@ -27,33 +28,33 @@
 
     private TokenMessageCodec() {}
 
-    /** Returns whether a datagram may be such a message. */
+    /** Returns whether a datagram may be a rate limit message. */
     static boolean isTokenMessage(byte[] bytes, int length) {
         return length > 0 && MessageFormat.valueOf(bytes[0]).getValueType() == ValueType.MAP;
     }
 
     static byte[] encode(TokenMessage message) {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            if (message instanceof TokenMessage.Request ask) {
+            if (message instanceof TokenMessage.Request request) {
                 packer.packMapHeader(REQUEST_FIELDS);
-                packer.packString(ID).packLong(ask.id());
-                packer.packString(MEMBER).packString(ask.member());
-                packer.packString(COUNT).packInt(ask.count());
-                packer.packString(FINAL).packBoolean(ask.isFinal());
-            } else if (message instanceof TokenMessage.Response reply) {
+                packer.packString(ID).packLong(request.id());
+                packer.packString(MEMBER).packString(request.member());
+                packer.packString(COUNT).packInt(request.count());
+                packer.packString(FINAL).packBoolean(request.isFinal());
+            } else if (message instanceof TokenMessage.Response response) {
                 packer.packMapHeader(RESPONSE_FIELDS);
-                packer.packString(ID).packLong(reply.id());
-                packer.packString(GRANTED).packInt(reply.grant().granted());
-                packer.packString(RETRY_AFTER).packLong(reply.grant().retryAfterMillis());
+                packer.packString(ID).packLong(response.id());
+                packer.packString(GRANTED).packInt(response.grant().granted());
+                packer.packString(RETRY_AFTER).packLong(response.grant().retryAfterMillis());
             }
             return packer.toByteArray();
         } catch (IOException e) {
-            throw new IllegalStateException("a message can always be written", e);
+            throw new IllegalStateException("failed to encode a rate limit message", e);
         }
     }
 
     /**
-     * Reads a message; fields of a later release are passed over.
+     * Decodes a message; unknown fields, as of a later release, are skipped.
      *
      * @throws IOException if the datagram is malformed
      */
@@ -61,7 +62,7 @@
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
             return read(unpacker);
         } catch (MessagePackException | IllegalArgumentException e) {
-            throw new IOException("not a message about tokens", e);
+            throw new IOException("malformed rate limit message", e);
         }
     }
 
--- a/src/main/java/org/apricotgauge/node/UnstartedControl.java
+++ b/src/main/java/org/apricotgauge/node/UnstartedControl.java
@@ -4,7 +4,7 @@
 import org.apricotgauge.model.SiteView;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Stands for a node's control until it is started: nothing is known, and nothing may be done. */
+/** The control of a node until its real one is started: without state, and it may not act. */
 final class UnstartedControl implements NodeControl {
     private static final byte[] EMPTY_PAGE = {};
 
@@ -59,7 +59,7 @@
     public void addAcknowledgementHeaders(HttpFields.Mutable headers) {}
 
     @Override
-    public void handleAcknowledgement(HttpFields headers, long askedMillis) {}
+    public void handleAcknowledgement(HttpFields headers, long requestedAtMillis) {}
 
     @Override
     public CompletableFuture<byte[]> changesAfter(
--- a/src/main/java/org/apricotgauge/node/VerdictRecorder.java
+++ b/src/main/java/org/apricotgauge/node/VerdictRecorder.java
@@ -8,7 +8,7 @@
 import org.apricotgauge.operator.OutcomeKind;
 import org.apricotgauge.operator.OutcomeWindows;
 
-/** Turns the difference between two decisions into events and counts. */
+/** Records the difference between two decisions as events and counts. */
 final class VerdictRecorder {
     private final NodeEvents mEvents;
     private final OutcomeWindows mWindows;
@@ -21,16 +21,16 @@
     void record(String service, EjectionVerdicts before, EjectionVerdicts after) {
         for (EjectionVerdict verdict : after.byTarget().values()) {
             EjectionVerdict old = before == null ? null : before.byTarget().get(verdict.targetId());
-            boolean wasOut = old != null && !old.isEligible();
-            if (!wasOut && !verdict.isEligible()) {
+            boolean wasEjected = old != null && !old.isEligible();
+            if (!wasEjected && !verdict.isEligible()) {
                 mWindows.count(service, OutcomeKind.EJECTED);
                 mEvents.record(new TargetEjected(service, verdict.targetId(), verdict.evidence()));
-            } else if (wasOut && verdict.isEligible()) {
+            } else if (wasEjected && verdict.isEligible()) {
                 mEvents.record(
                         new TargetReadmitted(service, verdict.targetId(), verdict.evidence()));
             }
-            boolean wasHeld = old != null && old.keptByFloor();
-            if (verdict.keptByFloor() && !wasHeld) {
+            boolean wasKept = old != null && old.keptByFloor();
+            if (verdict.keptByFloor() && !wasKept) {
                 mEvents.record(
                         new FloorReached(
                                 service,
--- a/src/main/java/org/apricotgauge/node/package-info.java
+++ b/src/main/java/org/apricotgauge/node/package-info.java
@@ -1,2 +1,2 @@
-/** The node: the one small process in the slot beside the targets of a VM. */
+/** The node: one small process that serves callers and guards the targets of its VM. */
 package org.apricotgauge.node;
--- a/src/test/java/org/apricotgauge/node/CrashMessageTransportTest.java
+++ b/src/test/java/org/apricotgauge/node/CrashMessageTransportTest.java
@@ -20,7 +20,7 @@
 class CrashMessageTransportTest {
     private static final String LOOPBACK = "127.0.0.1";
 
-    /** What an Ethernet frame holds besides the headers of IP and UDP. */
+    /** Payload of an Ethernet frame without the headers of IP and UDP. */
     private static final int DATAGRAM_BYTES = 1_472;
 
     @Test
@@ -36,26 +36,28 @@
     @SuppressWarnings("try")
     void sendsMessageBetweenNodes() throws Exception {
         Address to = freeAddress();
-        CompletableFuture<CrashMessage> heard = new CompletableFuture<>();
+        CompletableFuture<CrashMessage> received = new CompletableFuture<>();
         try (CrashMessageTransport receiver =
                         CrashMessageTransport.start(
-                                to, Ticker.system(), (from, told) -> heard.complete(told));
+                                to,
+                                Ticker.system(),
+                                (from, message) -> received.complete(message));
                 CrashMessageTransport sender =
                         CrashMessageTransport.start(
-                                freeAddress(), Ticker.system(), (from, told) -> {})) {
+                                freeAddress(), Ticker.system(), (from, message) -> {})) {
             sender.send(to, largest());
 
-            assertThat(heard.get(10, TimeUnit.SECONDS)).isEqualTo(largest());
+            assertThat(received.get(10, TimeUnit.SECONDS)).isEqualTo(largest());
         }
     }
 
-    // Guards against a node that stops to listen under what somebody else sends it.
+    // Guards against a receiver thread that stops at a malformed datagram.
     @Test
     @SuppressWarnings("try")
     void ignoresMalformedDatagrams() throws Exception {
         Address to = freeAddress();
-        CompletableFuture<CrashMessage> heard = new CompletableFuture<>();
-        byte[] whole = CrashMessageTransport.encode(largest());
+        CompletableFuture<CrashMessage> received = new CompletableFuture<>();
+        byte[] complete = CrashMessageTransport.encode(largest());
         byte[] nil = {(byte) 0xC0};
         byte[] badKind =
                 CrashMessageTransport.encode(new CrashMessage(CrashMessage.Kind.ASK, 1, List.of()));
@@ -64,17 +66,18 @@
                         CrashMessageTransport.start(
                                 to,
                                 Ticker.system(),
-                                (from, told) ->
-                                        told.lines().forEach(line -> heard.complete(told)));
+                                (from, message) ->
+                                        message.lines()
+                                                .forEach(line -> received.complete(message)));
                 DatagramSocket sender = new DatagramSocket()) {
-            for (int length = 0; length < whole.length; length += 50) {
-                send(sender, to, Arrays.copyOf(whole, length));
+            for (int length = 0; length < complete.length; length += 50) {
+                send(sender, to, Arrays.copyOf(complete, length));
             }
             send(sender, to, nil);
             send(sender, to, badKind);
-            send(sender, to, whole);
+            send(sender, to, complete);
 
-            assertThat(heard.get(10, TimeUnit.SECONDS)).isEqualTo(largest());
+            assertThat(received.get(10, TimeUnit.SECONDS)).isEqualTo(largest());
         }
     }
 
@@ -83,7 +86,8 @@
         sender.send(new DatagramPacket(bytes, bytes.length, host, to.port()));
     }
 
-    // Guards against nodes that none asks: each stands once in the order of every other.
+    // Guards against nodes that no other node queries: each node must be in every other's order
+    // once.
     @Test
     void allNodesShareOnePeerOrder() {
         List<SiteMembers.Peer> nodes =
--- a/src/test/java/org/apricotgauge/node/DirectoryControlTest.java
+++ b/src/test/java/org/apricotgauge/node/DirectoryControlTest.java
@@ -52,7 +52,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        NodeControl.Dependencies parts =
+        NodeControl.Dependencies dependencies =
                 new NodeControl.Dependencies(
                         new Vm("vm", "here", "127.0.0.1", 81, 82, 83, 84),
                         0,
@@ -68,7 +68,7 @@
                                 item -> configured(),
                                 new SiteDefaults(70, new DetectionOdds(1, 1), 20),
                                 TIMES)
-                        .start(parts);
+                        .start(dependencies);
         awaitWorker();
         mReads.get(0).complete(new PublishedPage(5, true, List.of(CONFIGURATION)));
         awaitWorker();
@@ -95,7 +95,7 @@
         mWorker.submit(() -> {}).get();
     }
 
-    /** Guards against views that pass for young since the heads that told their age were late. */
+    /** Guards against stale views that count as fresh because a hop with their age was delayed. */
     @Test
     void ageOnHopDoesNotFreshenView() {
         mTicker.advanceMillis(700);
@@ -108,30 +108,30 @@
         assertThat(mControl.siteView().ageMillis()).isGreaterThanOrEqualTo(700);
     }
 
-    /** Guards against views that pass for young since an acknowledgement was late. */
+    /** Guards against stale views that count as fresh because an acknowledgement was delayed. */
     @Test
     void acknowledgementIsAtLeastAsOldAsItsRequest() {
-        long askedMillis = mControl.addHopHeaders(HttpFields.build());
+        long requestedAtMillis = mControl.addHopHeaders(HttpFields.build());
         mTicker.advanceMillis(700);
 
         mControl.handleAcknowledgement(
-                HttpFields.build().put(HeaderNames.SITE_VIEW, "5;0"), askedMillis);
+                HttpFields.build().put(HeaderNames.SITE_VIEW, "5;0"), requestedAtMillis);
         assertThat(mControl.siteView().ageMillis()).isGreaterThanOrEqualTo(700);
-        long askedAgainMillis = mControl.addHopHeaders(HttpFields.build());
+        long secondRequestMillis = mControl.addHopHeaders(HttpFields.build());
         mControl.handleAcknowledgement(
-                HttpFields.build().put(HeaderNames.SITE_VIEW, "5;100"), askedAgainMillis);
+                HttpFields.build().put(HeaderNames.SITE_VIEW, "5;100"), secondRequestMillis);
 
         assertThat(mControl.siteView().ageMillis()).isBetween(100L, 600L);
     }
 
-    /** Guards against a node that lacks the end of a target and is told that it lacks nothing. */
+    /** Guards against a node that misses the end of a target although its view was confirmed. */
     @Test
     void acknowledgementOfUnknownRevisionDoesNotConfirm() {
         mTicker.advanceMillis(700);
-        long askedMillis = mControl.addHopHeaders(HttpFields.build());
+        long requestedAtMillis = mControl.addHopHeaders(HttpFields.build());
 
         mControl.handleAcknowledgement(
-                HttpFields.build().put(HeaderNames.SITE_VIEW, "6;0"), askedMillis);
+                HttpFields.build().put(HeaderNames.SITE_VIEW, "6;0"), requestedAtMillis);
 
         assertThat(mControl.siteView().ageMillis()).isGreaterThanOrEqualTo(700);
     }
--- a/src/test/java/org/apricotgauge/node/EvidenceHeadersTest.java
+++ b/src/test/java/org/apricotgauge/node/EvidenceHeadersTest.java
@@ -42,9 +42,8 @@
 
     @Test
     void boundsEvidenceBytesPerSecond() {
-        // Callers see nothing of it. A thousand answers a second go out; evidence on each would
-        // cost
-        // more than control may, so most go without, and the next second brings more.
+        // Evidence on each of a thousand responses a second would cost more than control traffic
+        // may, so most responses carry none until the next second. Callers see nothing of it.
         mTicker.advanceMillis(1_000);
         int firstBytes = evidenceBytes(1_000);
         assertThat(firstBytes).isBetween(1, EvidenceHeaders.BYTES_PER_SECOND);
@@ -53,9 +52,9 @@
         assertThat(evidenceBytes(1_000)).isBetween(1, EvidenceHeaders.BYTES_PER_SECOND);
     }
 
-    private int evidenceBytes(int answers) {
+    private int evidenceBytes(int responses) {
         int bytes = 0;
-        for (int i = 0; i < answers; i++) {
+        for (int i = 0; i < responses; i++) {
             HttpFields.Mutable headers = HttpFields.build();
             mEvidenceHeaders.write(TARGET, headers);
             String text = headers.get(HeaderNames.EVIDENCE);
--- a/src/test/java/org/apricotgauge/node/HealthReportServiceTest.java
+++ b/src/test/java/org/apricotgauge/node/HealthReportServiceTest.java
@@ -8,7 +8,7 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** Datagrams on targets' health: what is written can be read, also by other releases. */
+/** Tests that health reports can be decoded, also those of other releases. */
 class HealthReportServiceTest {
     private static final HealthReportService.HealthReport REPORT =
             new HealthReportService.HealthReport("i-1_0", "60,300,3000", 500);
--- a/src/test/java/org/apricotgauge/node/RecentRequestsTest.java
+++ b/src/test/java/org/apricotgauge/node/RecentRequestsTest.java
@@ -5,7 +5,7 @@
 import org.apricotgauge.time.ManualTicker;
 import org.junit.jupiter.api.Test;
 
-/** How long a request is remembered. */
+/** Tests how long a request is retained. */
 class RecentRequestsTest {
     private final ManualTicker mTicker = new ManualTicker();
     private final RecentRequests mRequests = new RecentRequests(mTicker);
--- a/src/test/java/org/apricotgauge/node/RoutingStateTest.java
+++ b/src/test/java/org/apricotgauge/node/RoutingStateTest.java
@@ -20,7 +20,7 @@
                     .withService(new Service("s", 70, new DetectionOdds(1, 1), 20, 100, null))
                     .withTarget(FIRST);
 
-    /** Guards against work for a target that leaves, which the platform calls ready again. */
+    /** Guards against requests to a leaving target that the platform reports as ready again. */
     @Test
     void selfReportedLeavingTargetGetsNoRequestsRegardlessOfMembership() {
         mState.configurationChanged(1, mWithFirst);
--- a/src/test/java/org/apricotgauge/node/SidecarCrashGossipTest.java
+++ b/src/test/java/org/apricotgauge/node/SidecarCrashGossipTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Nodes of three VMs on a stand-in of the users' platform, whose targets crash. */
+/** Tests nodes of three VMs with crashing targets, on a stand-in of the users' platform. */
 class SidecarCrashGossipTest {
     private static final int VMS = 3;
     private static final Pattern QUARANTINED = Pattern.compile("\"heldMillis\":[1-9]");
@@ -72,7 +72,7 @@
         mThreads.stop();
     }
 
-    // Guards against crashes that are known at the nodes that saw them, and nowhere else.
+    // Guards against crashes that are known only at the nodes that observed them.
     @Test
     void allNodesQuarantineRequestThatCrashedThreeTargets() {
         LocalFleet.await(
@@ -138,7 +138,7 @@
         return "127.0.0." + (vm + 1);
     }
 
-    /** Ports of all VMs alike, as the platform gives them. */
+    /** Returns ports that all VMs share, as on the platform. */
     private static List<Integer> freePorts() throws IOException {
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
--- a/src/test/java/org/apricotgauge/node/SidecarOnPlatformTest.java
+++ b/src/test/java/org/apricotgauge/node/SidecarOnPlatformTest.java
@@ -35,7 +35,7 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 import org.slf4j.LoggerFactory;
 
-/** A node on a stand-in of the users' platform, over real sockets: entry, guard and target. */
+/** Tests a node with entry, guard and target on a stand-in of the users' platform, over sockets. */
 class SidecarOnPlatformTest {
     private static final String LOOPBACK = "127.0.0.1";
 
@@ -86,9 +86,8 @@
 
     @Test
     void returnsUnavailableUntilConfigurationIsPublished() throws Exception {
-        // A caller comes before the operator has published anything: 503, not 404, since its route
-        // may well exist. Once it is there, the call runs once, at the target, and comes back
-        // whole.
+        // Before the operator has published anything, a call gets 503, not 404, since its route may
+        // exist. Afterwards it runs once, at the target, and returns the complete answer.
         assertThat(call("first").getStatus()).isEqualTo(503);
 
         mPlatform.publish(LOOPBACK, "desk");
@@ -102,14 +101,14 @@
         assertThat(mPlatform.runs()).isEqualTo(1);
     }
 
-    // Guards against keys that leak to whoever reads logs or asks the administration API.
+    // Guards against API keys that leak through logs or the administration API.
     @Test
     void logsAndAdminResponsesContainNoKey() throws Exception {
         String key = "3nax7u27gxprymh2rryt";
         ListAppender<ILoggingEvent> log = new ListAppender<>();
         log.start();
         Logger root = (Logger) LoggerFactory.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-        Level usual = root.getLevel();
+        Level originalLevel = root.getLevel();
         root.setLevel(Level.INFO);
         root.addAppender(log);
         try {
@@ -127,7 +126,7 @@
             assertThat(admin("/v1/allotments")).contains("\"member\":\"stable\"");
         } finally {
             root.detachAppender(log);
-            root.setLevel(usual);
+            root.setLevel(originalLevel);
         }
         assertThat(log.list).isNotEmpty();
         for (ILoggingEvent event : log.list) {
@@ -153,25 +152,24 @@
 
     @Test
     void peerReadsSiteFromThisNode() throws Exception {
-        // Over real connections: a question is answered with the site and the age of the view, and
-        // a watch by the change that comes while it waits.
+        // A query returns the site and the age of the view, and a watch returns the next change.
         PeerSource peer = new PeerSource(mCaller, new PageCodec(), mGuard);
         mPlatform.publish(LOOPBACK, "desk");
         LocalFleet.await(() -> mNode.version() == 1);
 
-        PublishedPage known = peer.read(0, 0).get(10, TimeUnit.SECONDS);
-        CompletableFuture<PublishedPage> change = peer.read(known.revision(), 8_000);
+        PublishedPage page = peer.read(0, 0).get(10, TimeUnit.SECONDS);
+        CompletableFuture<PublishedPage> change = peer.read(page.revision(), 8_000);
         mPlatform.publish(LOOPBACK, "yard");
 
-        assertThat(known.full()).isTrue();
-        assertThat(known.items()).isNotEmpty();
-        assertThat(known.isAgeKnown()).isTrue();
+        assertThat(page.full()).isTrue();
+        assertThat(page.items()).isNotEmpty();
+        assertThat(page.isAgeKnown()).isTrue();
         assertThat(change.get(10, TimeUnit.SECONDS).items()).isNotEmpty();
     }
 
     @Test
     void pageOfEarlierReleaseHasUnknownAge() throws Exception {
-        // Taken for an age of 0, it would confirm a view of any age.
+        // Guards against a missing age that is read as 0 and so confirms a view of any age.
         byte[] page =
                 new ObjectMapper(new MessagePackFactory())
                         .writeValueAsBytes(
--- a/src/test/java/org/apricotgauge/node/SidecarSettingsTest.java
+++ b/src/test/java/org/apricotgauge/node/SidecarSettingsTest.java
@@ -8,7 +8,7 @@
 import org.apricotgauge.cli.CommandOutcome;
 import org.junit.jupiter.api.Test;
 
-/** The flags of a node on a platform that fills them in. */
+/** Tests the flags of a node whose platform fills them in. */
 class SidecarSettingsTest {
     private static final List<String> FLAGS =
             List.of(
--- a/src/test/java/org/apricotgauge/node/TokenMessageCodecTest.java
+++ b/src/test/java/org/apricotgauge/node/TokenMessageCodecTest.java
@@ -10,7 +10,7 @@
 import org.apricotgauge.decision.ratelimit.TokenMessage;
 import org.junit.jupiter.api.Test;
 
-/** Messages about tokens as datagrams. */
+/** Tests rate limit messages as datagrams. */
 class TokenMessageCodecTest {
     @Test
     void roundTripsMessages() throws IOException {
