--- a/src/main/java/org/apricotgauge/decision/admission/AdaptiveConcurrencyLimit.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdaptiveConcurrencyLimit.java
@@ -47,8 +47,8 @@
     /** Records an answered request; the limit can grow only while it is fully used. */
     void onAnswered(boolean limitReached, long nowMillis) {
         mAnsweredSinceChange++;
-        // Growth that has held for as many answers as slots shows that slots are free again, so the
-        // next step needs no delay.
+        // A growth step followed by as many answers as slots shows that slots are free again, so
+        // the next step needs no delay.
         if (mLastChangeWasGrowth && mAnsweredSinceChange >= mSlots) {
             mGrowthDelayMillis = MIN_GROWTH_DELAY_MILLIS;
             mNextGrowthMillis = Math.min(mNextGrowthMillis, nowMillis);
--- a/src/main/java/org/apricotgauge/decision/admission/AdmissionConfig.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdmissionConfig.java
@@ -22,8 +22,8 @@
         SHARED,
         /**
          * Only the guard uses the slots. A target that sheds while slots are free is faulty, not
-         * busy, so the limit stays. When it still adapted, targets that shed half of their requests
-         * due to a fault kept one slot of three, and the other requests queued past their
+         * busy, so the limit is constant. An adaptive limit left targets that shed half of their
+         * requests due to a fault with one slot of three, and the other requests queued past their
          * deadlines.
          */
         EXCLUSIVE
@@ -33,7 +33,6 @@
     private static final int DEFAULT_MEMBERS = 1_024;
     private static final long DEFAULT_SERVICE_MICROS = 20_000;
 
-    /** Checks the components. */
     public AdmissionConfig {
         Checks.inRange("slots", slots, 1, 10_000);
         Checks.inRange("maxQueued", maxQueued, 1, 100_000);
--- a/src/main/java/org/apricotgauge/decision/admission/AdmissionQueue.java
+++ b/src/main/java/org/apricotgauge/decision/admission/AdmissionQueue.java
@@ -240,7 +240,7 @@
     }
 
     // Newer requests overtake a late one, so behind a longer queue it would be kept until its
-    // deadline and rejected then. On the heaviest day measured, this happened to requests of an
+    // deadline and rejected then. On the heaviest day measured, this happened to requests worth an
     // eighth of the day's value. So a late request queues for one round of the slots at most.
     private boolean mayWaitPastSoftDeadline(Ticket ticket) {
         return ticket.nestedCall() || mQueue.size() < mConfig.slots();
--- a/src/main/java/org/apricotgauge/decision/admission/QueueingPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/admission/QueueingPolicy.java
@@ -12,7 +12,7 @@
 public enum QueueingPolicy {
     /** The request is rejected at once if no slot is free. */
     NO_WAIT,
-    /** The request may queue while it can meet its soft deadline; then it is rejected. */
+    /** The request may queue while it can meet its soft deadline, and is rejected after that. */
     WHILE_USEFUL,
     /** The request may queue until its deadline. */
     MAY_WAIT
--- a/src/main/java/org/apricotgauge/decision/admission/Rejection.java
+++ b/src/main/java/org/apricotgauge/decision/admission/Rejection.java
@@ -12,7 +12,6 @@
  */
 public record Rejection(Ticket ticket, RejectionReason reason, long retryAfterMillis) {
 
-    /** Checks the components. */
     public Rejection {
         Checks.notNull("ticket", ticket);
         Checks.notNull("reason", reason);
--- a/src/main/java/org/apricotgauge/decision/admission/ServiceTimes.java
+++ b/src/main/java/org/apricotgauge/decision/admission/ServiceTimes.java
@@ -8,10 +8,9 @@
  * baseline.
  *
  * <p>Estimates are kept by kind of work rather than by priority: with one estimate for each
- * priority, lookups of 60 ms shared it with patient reports of 600 ms, and were rejected for their
- * deadline whenever they would have had to queue. On the heaviest day measured, that rejected 321
- * of some 2,000 lookups that targets make while they serve a booking, and each one failed its
- * booking.
+ * priority, lookups of 60 ms shared it with reports of 600 ms, and were rejected for their deadline
+ * whenever they would have had to queue. On the heaviest day measured, that rejected 321 of some
+ * 2,000 lookups that targets make while they serve a booking, and each one failed its booking.
  */
 final class ServiceTimes {
     private static final double BASELINE_GAIN = 0.05;
--- a/src/main/java/org/apricotgauge/decision/admission/Ticket.java
+++ b/src/main/java/org/apricotgauge/decision/admission/Ticket.java
@@ -27,7 +27,6 @@
         long softDeadlineMillis,
         long deadlineMillis) {
 
-    /** Checks the components. */
     public Ticket {
         Checks.notNull("member", member);
         Checks.notNull("priority", priority);
--- a/src/main/java/org/apricotgauge/decision/attempt/Attempt.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/Attempt.java
@@ -4,7 +4,8 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Attempt addressed to one incarnation of one guard; it can start only there and only in time.
+ * Attempt addressed to one incarnation of one guard; starts only there, and not after its latest
+ * start.
  *
  * <pre>{@code
  * request.headers(fields -> fields.put(Attempt.HEADER, attempt.toString()));
--- a/src/main/java/org/apricotgauge/decision/attempt/AttemptLedger.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptLedger.java
@@ -76,8 +76,8 @@
 
     /** Decides on an attempt that arrives; only {@link AttemptAdmission#ADMITTED} may proceed. */
     public synchronized AttemptAdmission admit(Attempt attempt, long nowMillis) {
-        // A restarted guard does not know the fences that its predecessor acknowledged; an attempt
-        // delayed in transit would run after its caller had received "not run".
+        // A restarted guard does not know the fences that its earlier incarnation acknowledged; an
+        // attempt delayed in transit would run after its caller had received "not run".
         if (attempt.guardIncarnation() != mIncarnation) {
             return AttemptAdmission.OTHER_INCARNATION;
         }
--- a/src/main/java/org/apricotgauge/decision/attempt/AttemptLimits.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/AttemptLimits.java
@@ -6,8 +6,8 @@
  * Bounds on the table of an {@link AttemptLedger}.
  *
  * @param maxInFlight most attempts in flight at once; more are refused
- * @param maxEnded most ended attempts kept; beyond it those with the earliest start are evicted,
- *     and fences for them are answered "forgotten"
+ * @param maxEnded most ended attempts kept; beyond it those with the earliest {@code
+ *     latestStartMillis} are evicted, and fences for them are answered "forgotten"
  * @param maxLifetimeMillis how far ahead an attempt's latest start may lie
  * @param graceMillis how long past its latest start an attempt is kept, for fences that arrive
  *     late; a fence later than that is answered "forgotten"
--- a/src/main/java/org/apricotgauge/decision/attempt/GuardClockEstimate.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/GuardClockEstimate.java
@@ -18,8 +18,8 @@
  * @param receivedAtMillis the entry's own clock when the stamp arrived
  */
 public record GuardClockEstimate(GuardStamp stamp, long receivedAtMillis) {
-    // A guard refuses attempts that may start later than it keeps entries. Its clock is ahead
-    // of the estimate, so it accepts the same bound added to the estimate.
+    // A guard refuses an attempt whose latest start is further ahead of its clock than this. The
+    // estimate lags behind that clock, so the estimate plus this bound is accepted.
     private static final long MAX_LIFETIME_MILLIS = AttemptLimits.DEFAULT.maxLifetimeMillis();
 
     public GuardClockEstimate {
--- a/src/main/java/org/apricotgauge/decision/attempt/IdempotencyLedger.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/IdempotencyLedger.java
@@ -84,9 +84,9 @@
         if (existing != null) {
             return decideExisting(existing, fingerprint);
         }
-        // A new guard can't distinguish a first submission from one that its predecessor ran.
-        // Running it could execute a booking twice; refusing it only makes the requests with this
-        // key fail until the retention has passed.
+        // A new owner can't distinguish a first submission from one that an earlier incarnation or
+        // the previous owner ran. Running it could execute a booking twice; refusing it only makes
+        // the requests with this key fail until the retention has passed.
         long historyKnownFromMillis =
                 Math.max(mStartedAtMillis, ownerSinceMillis) + mLimits.retentionMillis();
         if (newOwnerPolicy == KeyLimits.NewOwnerPolicy.REFUSE
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryAllowancePolicy.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryAllowancePolicy.java
@@ -3,7 +3,8 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Determines how many retries a node may allow in addition to its share of the requests.
+ * Determines how many retries a node may allow in addition to those that the service's retry budget
+ * grants as a percentage of its requests.
  *
  * <pre>{@code
  * RetryAllowancePolicy policy = RetryAllowancePolicy.ofFleet(62, 10);
@@ -23,14 +24,14 @@
     RetryAllowancePolicy UNBOUNDED = nodeCount -> new Allowance(100_000, 1_000, InitialFill.FULL);
 
     /**
-     * Returns the current allowance of a node in addition to its share of the requests.
+     * Returns the current allowance of a node.
      *
      * @param nodeCount number of nodes that share the fleet's allowance
      */
     Allowance allowance(int nodeCount);
 
     /**
-     * Retries that a node may allow in addition to its share of the requests.
+     * Retries that a node may allow in addition to the percentage of its requests.
      *
      * @param burst capacity of the token bucket in retries, at least 1
      * @param perSecond retries allowed per second independent of the traffic
@@ -61,9 +62,9 @@
     /**
      * Returns a policy that divides the fleet's retries per window equally among its nodes.
      *
-     * <p>A node can use its full bucket and the refill within one window, so each gets half of the
-     * node's part. A process starts with an empty bucket: otherwise, a fleet that is killed and
-     * restarted could use its buckets twice within one window.
+     * <p>A node can use its full bucket and the refill within one window, so the bucket and the
+     * refill each get half of the node's part. A process starts with an empty bucket: otherwise, a
+     * fleet that is killed and restarted could use its buckets twice within one window.
      *
      * @param perWindow retries allowed to all nodes together in a window
      * @param windowSeconds length of the window
--- a/src/main/java/org/apricotgauge/decision/detection/ConfiguredTargets.java
+++ b/src/main/java/org/apricotgauge/decision/detection/ConfiguredTargets.java
@@ -52,7 +52,6 @@
      * @param presence whether it can take requests
      */
     public record ConfiguredTarget(String targetId, int slots, TargetPresence presence) {
-        /** Validates the components. */
         public ConfiguredTarget {
             Checks.notNull("configuredTarget.targetId", targetId);
             Checks.inRange("configuredTarget.slots", slots, 1, Integer.MAX_VALUE);
--- a/src/main/java/org/apricotgauge/decision/detection/DetectionThreshold.java
+++ b/src/main/java/org/apricotgauge/decision/detection/DetectionThreshold.java
@@ -3,7 +3,8 @@
 import org.apricotgauge.model.DetectionOdds;
 
 /**
- * Computes the threshold of the sequential tests from the operator's two odds.
+ * Computes the threshold of the sequential tests from the operator's two odds: the relative costs
+ * of a false ejection and of a second of delay.
  *
  * <p>With faults at rate L per target-second, a false ejection of cost F, a second of delay of cost
  * D, and evidence of I nats per request at r requests per second, Page's test with threshold h
--- a/src/main/java/org/apricotgauge/decision/detection/EvidenceDigest.java
+++ b/src/main/java/org/apricotgauge/decision/detection/EvidenceDigest.java
@@ -34,7 +34,6 @@
      * @param entry counts as an entry, or null if the node has none
      */
     public record TargetEvidence(String targetId, EvidenceCounts guard, EvidenceCounts entry) {
-        /** Validates the components. */
         public TargetEvidence {
             Checks.notNull("evidence.targetId", targetId);
         }
--- a/src/main/java/org/apricotgauge/decision/detection/EvidenceView.java
+++ b/src/main/java/org/apricotgauge/decision/detection/EvidenceView.java
@@ -214,9 +214,10 @@
         if (mSamplesAtRefresh == 0 || elapsedMillis <= 0) {
             return;
         }
-        double now = (mSamples - mSamplesAtRefresh) * 1_000.0 / elapsedMillis / mStreams.size();
+        double currentRate =
+                (mSamples - mSamplesAtRefresh) * 1_000.0 / elapsedMillis / mStreams.size();
         double weight = 1 - Math.exp(-elapsedMillis / RATE_TIME_CONSTANT_MILLIS);
-        mRatePerSecond += weight * (now - mRatePerSecond);
+        mRatePerSecond += weight * (currentRate - mRatePerSecond);
     }
 
     private double threshold() {
--- a/src/main/java/org/apricotgauge/decision/detection/Observation.java
+++ b/src/main/java/org/apricotgauge/decision/detection/Observation.java
@@ -27,7 +27,6 @@
     /** The key hash of an unknown route and member. */
     public static final long NO_KEY = 0;
 
-    /** Validates the components. */
     public Observation {
         Checks.notNull("observation.targetId", targetId);
         Checks.notNull("observation.point", point);
--- a/src/main/java/org/apricotgauge/decision/detection/PoolBaseline.java
+++ b/src/main/java/org/apricotgauge/decision/detection/PoolBaseline.java
@@ -100,13 +100,15 @@
      */
     static double remainingShare(TargetStream target, int test, int[][] recentCounts) {
         int samples = target.samplesSinceRise(test);
-        double own = (double) target.suspectSamplesSinceRise(test) / Math.max(1, samples);
-        double usual = target.scores().suspectShare(test);
-        double now = usual;
+        double ownShare = (double) target.suspectSamplesSinceRise(test) / Math.max(1, samples);
+        double baselineShare = target.scores().suspectShare(test);
+        double recentShare = baselineShare;
         for (int[] counts : recentCounts) {
-            now = Math.max(now, recentSuspectShare(target.scores(), test, counts));
+            recentShare = Math.max(recentShare, recentSuspectShare(target.scores(), test, counts));
         }
-        return own <= now ? 0 : divergence(own, now) / divergence(own, usual);
+        return ownShare <= recentShare
+                ? 0
+                : divergence(ownShare, recentShare) / divergence(ownShare, baselineShare);
     }
 
     /**
@@ -123,11 +125,11 @@
             total += counts[category];
             suspect += scores.isSuspect(test, category) ? counts[category] : 0;
         }
-        double usual = total * scores.suspectShare(test);
+        double expected = total * scores.suspectShare(test);
         boolean isFailure =
                 AlternativeHypothesis.ALL.get(test).kind() == AlternativeHypothesis.Kind.FAILURE;
-        double chance = isFailure ? 2 * Math.sqrt(usual) + 1 : Math.sqrt(usual) + 0.5;
-        if (suspect <= usual + chance) {
+        double chance = isFailure ? 2 * Math.sqrt(expected) + 1 : Math.sqrt(expected) + 0.5;
+        if (suspect <= expected + chance) {
             return 0;
         }
         return (suspect + 0.5) / (total + 1);
--- a/src/main/java/org/apricotgauge/decision/health/DegradationEstimate.java
+++ b/src/main/java/org/apricotgauge/decision/health/DegradationEstimate.java
@@ -27,7 +27,7 @@
         Checks.inRange("estimate.decayMillis", decayMillis, 1.0, 1e9);
     }
 
-    /** Returns the report for other nodes, whose receivers add the time of receipt. */
+    /** Returns the report to send to other nodes. */
     public Report toReport(long nowMillis) {
         return new Report(
                 (int) Math.round(PERMILLE * probabilityAt(nowMillis)),
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Form of an estimate that is sent to other nodes; it has no time of its own.
+     * Estimate as sent to other nodes; it carries no time, and receivers add the time of receipt.
      *
      * @param probabilityPermille probability that the target is degraded, in permille
      * @param baselinePermille long-run probability to which the estimate decays, in permille
--- a/src/main/java/org/apricotgauge/decision/health/DegradationFilter.java
+++ b/src/main/java/org/apricotgauge/decision/health/DegradationFilter.java
@@ -12,8 +12,8 @@
  */
 final class DegradationFilter {
     /**
-     * Share of the weight spread evenly over the models at each observation; a model needs the
-     * reciprocal number of requests to lose its weight.
+     * Share of the weight spread evenly over the models at each observation; a model needs about
+     * {@code 1 / UNIFORM_SHARE} requests to lose its weight.
      */
     private static final double UNIFORM_SHARE = 0.002;
 
--- a/src/main/java/org/apricotgauge/decision/health/FailureTimeHistogram.java
+++ b/src/main/java/org/apricotgauge/decision/health/FailureTimeHistogram.java
@@ -46,7 +46,7 @@
         mTotal++;
     }
 
-    /** Records a failure without any answer for as long as somebody waited for it. */
+    /** Records a failure by timeout: no answer arrived before the request was abandoned. */
     void addTimeout() {
         decay();
         mTotal++;
--- a/src/main/java/org/apricotgauge/decision/health/HealthGate.java
+++ b/src/main/java/org/apricotgauge/decision/health/HealthGate.java
@@ -20,10 +20,10 @@
  * recovery. Thread-safe.
  */
 public final class HealthGate {
-    /** Probability of being degraded from which on a target is suspect and only probed. */
+    /** Probability of being degraded at or above which a target is suspect and only probed. */
     public static final double SUSPECT_PROBABILITY = 0.5;
 
-    /** Probability from which on a target receives no non-idempotent requests. */
+    /** Probability at or above which a target receives no non-idempotent requests. */
     public static final double NON_IDEMPOTENT_LIMIT = 0.4;
 
     /**
@@ -33,8 +33,8 @@
     static final double MAX_PROBE_PROBABILITY = 0.75;
 
     /**
-     * Probability from which on an idempotent request that has exceeded its run timeout is better
-     * retried at another target.
+     * Probability at or above which an idempotent request that has exceeded its run timeout is
+     * better retried at another target.
      */
     static final double MIN_FAILOVER_PROBABILITY = 0.25;
 
@@ -49,11 +49,14 @@
 
     /** Risk that a request may take of failing at its target; sent between nodes by name. */
     public enum RiskTolerance {
-        /** None: the request is not idempotent and must not start at a suspect target. */
+        /**
+         * Lowest risk: the request is not idempotent, or has no further run left, and starts only
+         * at a target below {@link HealthGate#NON_IDEMPOTENT_LIMIT}.
+         */
         STEADY,
         /** The request is idempotent and may probe a suspect target. */
         MAY_TRY,
-        /** No other target is left, so that any risk is accepted. */
+        /** Any risk: no other target or no further attempt is left. */
         NONE
     }
 
@@ -195,7 +198,7 @@
                 : TimeoutDiagnosis.HUNG;
     }
 
-    /** Records that a request got no answer for as long as somebody waited for it. */
+    /** Records a failure by timeout: no answer arrived before the request was abandoned. */
     public synchronized void endedWithoutAnswer(Run run, long nowMillis) {
         mFailureTimes.addTimeout();
         failed(run, nowMillis);
@@ -226,10 +229,10 @@
     /**
      * Returns the timeout of a run that starts now, in milliseconds.
      *
-     * @param usefulMillis time within which the answer has its full value to the caller
+     * @param softDeadlineMillis time from the start of the run to the request's soft deadline
      */
-    public long runTimeoutMillis(String workKind, long usefulMillis) {
-        return mRunTimes.runTimeoutMillis(workKind, usefulMillis);
+    public long runTimeoutMillis(String workKind, long softDeadlineMillis) {
+        return mRunTimes.runTimeoutMillis(workKind, softDeadlineMillis);
     }
 
     // An answer is evidence of the target's health when the request started. Answers to requests
--- a/src/main/java/org/apricotgauge/decision/health/RunTimeEstimator.java
+++ b/src/main/java/org/apricotgauge/decision/health/RunTimeEstimator.java
@@ -8,7 +8,7 @@
  *
  * <pre>{@code
  * estimator.answered("route-7", 268);
- * long timeoutMillis = estimator.runTimeoutMillis("route-7", usefulMillis);
+ * long timeoutMillis = estimator.runTimeoutMillis("route-7", softDeadlineMillis);
  * }</pre>
  *
  * <p>A target that hangs returns neither answers nor errors. Until its first request reached the
@@ -20,10 +20,10 @@
     /** A run times out this many mean deviations above the mean; one in thirty does by chance. */
     static final double TIMEOUT_DEVIATIONS = 3;
 
-    /** With fewer answers, the timeout is derived from the useful time. */
+    /** With fewer answers, the timeout is derived from the soft deadline. */
     static final int MIN_SAMPLES = 5;
 
-    /** Operators configure a useful time of some two to three times the usual run time. */
+    /** Operators configure a soft deadline of about two to three times the typical run time. */
     static final double USEFUL_TIME_SHARE = 0.75;
 
     /** Below it, run times depend on the scheduling of a busy VM. */
@@ -66,7 +66,7 @@
             double gain = Math.max(MIN_GAIN, 1.0 / mCount);
             double error = millis - mMeanMillis;
             mMeanMillis += gain * error;
-            // The first answer defines the mean, and is no evidence of the deviation.
+            // The first answer defines the mean and is no evidence of the deviation.
             double deviationGain = mCount == 1 ? 0 : Math.max(MIN_GAIN, 1.0 / (mCount - 1));
             mDeviationMillis += deviationGain * (Math.abs(error) - mDeviationMillis);
         }
@@ -123,10 +123,10 @@
     /**
      * Returns the time after which a run times out, in milliseconds.
      *
-     * @param usefulMillis time within which the answer has its full value to the caller
+     * @param softDeadlineMillis time from the start of the run to the request's soft deadline
      */
-    public synchronized long runTimeoutMillis(String workKind, long usefulMillis) {
-        double millis = USEFUL_TIME_SHARE * usefulMillis;
+    public synchronized long runTimeoutMillis(String workKind, long softDeadlineMillis) {
+        double millis = USEFUL_TIME_SHARE * softDeadlineMillis;
         if (hasEnoughSamples(workKind)) {
             Distribution distribution = distributionOf(workKind);
             millis =
--- a/src/main/java/org/apricotgauge/decision/routing/Candidate.java
+++ b/src/main/java/org/apricotgauge/decision/routing/Candidate.java
@@ -24,7 +24,6 @@
     /** Value of {@code rampStartNanos} for a warm target. */
     public static final long NO_RAMP = Long.MIN_VALUE;
 
-    /** Checks the components. */
     public Candidate {
         Checks.notNull("target", target);
         Checks.inRange("weight", weight, 0.0, 1.0);
--- a/src/main/java/org/apricotgauge/decision/routing/RoutingTableFactory.java
+++ b/src/main/java/org/apricotgauge/decision/routing/RoutingTableFactory.java
@@ -47,7 +47,6 @@
     public record TargetStateSource(
             GuardLookup guardOf, Predicate<Target> leaving, ToDoubleFunction<Target> weightOf) {
 
-        /** Checks the components. */
         public TargetStateSource {
             Checks.notNull("guardOf", guardOf);
             Checks.notNull("leaving", leaving);
--- a/src/test/java/org/apricotgauge/decision/admission/AdmissionQueueTest.java
+++ b/src/test/java/org/apricotgauge/decision/admission/AdmissionQueueTest.java
@@ -38,7 +38,7 @@
     void rateLimitedTargetRejectsTicketThatMustNotWaitWithRetryAfter() {
         mQueue.setStartLimit(1, 0);
 
-        Ticket impatient =
+        Ticket noWait =
                 new Ticket(
                         mNextId++,
                         new Member("m", 1),
@@ -48,7 +48,7 @@
                         QueueingPolicy.NO_WAIT,
                         10_000,
                         10_000);
-        assertThat(mQueue.offer(impatient, 0))
+        assertThat(mQueue.offer(noWait, 0))
                 .isInstanceOfSatisfying(
                         AdmissionDecision.Rejected.class,
                         rejected -> {
--- a/src/test/java/org/apricotgauge/decision/attempt/RetryAllowancePolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/RetryAllowancePolicyTest.java
@@ -49,8 +49,7 @@
 
     @Test
     void newProcessStartsWithoutSavedRetries() {
-        // Guards against a fleet that is killed and restarted using its buckets twice in one
-        // window.
+        // A fleet that is killed and restarted must not use its buckets twice within one window.
         RetryBudget budget =
                 new RetryBudgetRegistry(RetryAllowancePolicy.ofFleet(62, 10), 5_000)
                         .of(SERVICE, GUARDS);
--- a/src/test/java/org/apricotgauge/decision/detection/DetectorHarness.java
+++ b/src/test/java/org/apricotgauge/decision/detection/DetectorHarness.java
@@ -35,11 +35,11 @@
     }
 
     ConfiguredTargets configuredTargets() {
-        List<ConfiguredTargets.ConfiguredTarget> entries = new ArrayList<>();
+        List<ConfiguredTargets.ConfiguredTarget> targets = new ArrayList<>();
         for (int i = 0; i < mIds.length; i++) {
-            entries.add(new ConfiguredTargets.ConfiguredTarget(mIds[i], mSlots, mPresence[i]));
+            targets.add(new ConfiguredTargets.ConfiguredTarget(mIds[i], mSlots, mPresence[i]));
         }
-        return new ConfiguredTargets(entries);
+        return new ConfiguredTargets(targets);
     }
 
     void decide() {
--- a/src/test/java/org/apricotgauge/decision/detection/ServiceDetectorTest.java
+++ b/src/test/java/org/apricotgauge/decision/detection/ServiceDetectorTest.java
@@ -298,7 +298,7 @@
         for (int half = 0; half < 2; half++) {
             for (int round = 0; round < 6_000; round++) {
                 boolean isFailing = round / 100 % 2 == 0;
-                int now = half;
+                int currentHalf = half;
                 mPool.rounds(
                         1,
                         ObservationPoint.GUARD,
@@ -306,7 +306,7 @@
                             if (!isFailing || !id.equals("t3")) {
                                 return mPool.healthyMicros();
                             }
-                            errors[now]++;
+                            errors[currentHalf]++;
                             return FAILS;
                         });
             }
@@ -345,19 +345,19 @@
      */
     @Test
     void ejectsAFailingTargetAtLowTraffic() {
-        DetectorHarness thin = new DetectorHarness(6, 3, 60);
+        DetectorHarness lowTraffic = new DetectorHarness(6, 3, 60);
         for (int i = 0; i < 200; i++) {
-            thin.mNowMillis += 9_900;
-            thin.healthy(1);
+            lowTraffic.mNowMillis += 9_900;
+            lowTraffic.healthy(1);
         }
         int requests = 0;
-        while (thin.mVerdicts.isEligible("t3") && requests < 20) {
+        while (lowTraffic.mVerdicts.isEligible("t3") && requests < 20) {
             requests++;
-            thin.mNowMillis += 9_900;
-            thin.rounds(
+            lowTraffic.mNowMillis += 9_900;
+            lowTraffic.rounds(
                     1,
                     ObservationPoint.GUARD,
-                    id -> id.equals("t3") ? FAILS : thin.healthyMicros());
+                    id -> id.equals("t3") ? FAILS : lowTraffic.healthyMicros());
         }
         assertThat(requests).isLessThanOrEqualTo(5);
     }
--- a/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
+++ b/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
@@ -15,8 +15,8 @@
     @Test
     void oneFailureKeepsNonIdempotentRequestsAway() {
         // Guards against losing further bookings at a target that has just failed one: waiting for
-        // a second or third failure would lose a second or third booking. How long bookings stay
-        // away follows from the earlier episodes, which last 2.7 s here.
+        // a second or third failure would lose a second or third booking. How long the target
+        // receives no bookings follows from the earlier episodes, which last 2.7 s here.
         HealthGate gate = new HealthGate();
         long start = simulate(gate, 240);
         ended(gate, false, start);
