--- a/src/main/java/org/apricotgauge/caller/AnswerDelivery.java
+++ b/src/main/java/org/apricotgauge/caller/AnswerDelivery.java
@@ -46,14 +46,14 @@
     void forward(
             TargetAttempt attempt, org.eclipse.jetty.client.Response answer, Content.Source body) {
         ResponseForwarder.copyHead(answer, mResponse);
-        FailureTrackingSource watchedBody = new FailureTrackingSource(body);
+        FailureTrackingSource trackedBody = new FailureTrackingSource(body);
         ResponseForwarder.copyBody(
                 answer,
-                watchedBody,
+                trackedBody,
                 mResponse,
                 Callback.from(
                         () -> onForwarded(attempt),
-                        cause -> onForwardFailed(attempt, watchedBody, cause)));
+                        cause -> onForwardFailed(attempt, trackedBody, cause)));
     }
 
     private void onForwarded(TargetAttempt attempt) {
--- a/src/main/java/org/apricotgauge/caller/BufferedAnswer.java
+++ b/src/main/java/org/apricotgauge/caller/BufferedAnswer.java
@@ -13,7 +13,7 @@
  * A target's failed answer, buffered while another target is tried.
  *
  * <p>If no other target answers, the caller gets this answer, with the headers of its target,
- * rather than the fleet's own, which contains less.
+ * rather than the fleet's own, which has less information.
  */
 final class BufferedAnswer {
     /** Failed answers are short; a longer one is not buffered. */
--- a/src/main/java/org/apricotgauge/caller/CallerExchange.java
+++ b/src/main/java/org/apricotgauge/caller/CallerExchange.java
@@ -215,8 +215,8 @@
     }
 
     /**
-     * Returns the next attempt at the key's owner. Once one may have run, it keeps incarnation and
-     * latest start: with new ones it could reach an owner that no longer remembers the key.
+     * Returns the next attempt at the key's owner. If an earlier one may have run, its incarnation
+     * and latest start are kept; else an owner that lost the key could run it again.
      */
     Attempt newOwnerAttempt(GuardClockEstimate ownerClock, long deadlineMillis) {
         synchronized (this) {
@@ -468,7 +468,7 @@
         mCallback.failed(cause);
     }
 
-    /** Writes the outcome or a buffered answer, unless ended; may be called instead of a start. */
+    /** Writes the outcome or a buffered answer, unless ended; may replace {@link #start}. */
     void finish(Outcome outcome) {
         synchronized (this) {
             if (mEnded) {
--- a/src/main/java/org/apricotgauge/caller/CapturingResponse.java
+++ b/src/main/java/org/apricotgauge/caller/CapturingResponse.java
@@ -34,8 +34,8 @@
     /**
      * Sends an interim response now and every second until the answer begins.
      *
-     * <p>With a single interim response, the entry would take a booking of some seconds for a dead
-     * path and retry it; its caller would get a 409 for a booking that is still running.
+     * <p>With a single interim response, the entry would treat a booking that takes seconds as a
+     * dead path and retry it; its caller would get a 409 for a booking that is still running.
      */
     synchronized CompletableFuture<Void> sendHeartbeat() {
         if (mHeartbeatStopped) {
--- a/src/main/java/org/apricotgauge/caller/EntryContext.java
+++ b/src/main/java/org/apricotgauge/caller/EntryContext.java
@@ -20,7 +20,7 @@
  * @param retryPolicy decides on retries
  * @param scheduler scheduler of timeouts
  * @param ticker the entry's clock
- * @param observer receives how attempts and requests ended
+ * @param observer is notified of attempts and requests
  * @param probes source of ejected targets to probe
  * @param lagMeter scheduling lag of this process
  * @param dialect header conventions of the site's callers and targets
--- a/src/main/java/org/apricotgauge/caller/EntryHandler.java
+++ b/src/main/java/org/apricotgauge/caller/EntryHandler.java
@@ -45,8 +45,8 @@
  */
 public final class EntryHandler extends Handler.Abstract.NonBlocking {
     /**
-     * Within about a second, a node confirms its state after a pause, and callers of a stopping
-     * node are directed to another.
+     * Retry delay of requests that this node can't handle now: within about a second, a node
+     * confirms its state after a pause, and callers of a stopping node are directed to another.
      */
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
@@ -72,7 +72,7 @@
      * @param attemptIds generator of attempt ids
      * @param scheduler scheduler of timeouts
      * @param ticker the entry's clock
-     * @param observer receives how attempts and requests ended
+     * @param observer is notified of attempts and requests
      * @param probes source of ejected targets to probe
      * @param quarantine table of quarantined requests
      * @param rateLimiter enforces the rate limits of members
--- a/src/main/java/org/apricotgauge/caller/EntryObserver.java
+++ b/src/main/java/org/apricotgauge/caller/EntryObserver.java
@@ -9,7 +9,7 @@
 import org.apricotgauge.target.BrokenRun;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Receives how attempts and requests of the entry ended; called on request threads. */
+/** Observes attempts and requests of the entry; called on request threads. */
 public interface EntryObserver {
 
     /**
--- a/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
@@ -323,7 +323,8 @@
         mContext.observer().onFenceEnded(mCandidate.target(), mAttempt.id().toString(), answer);
         boolean started = answer != null && answer.state() == FenceAnswer.State.STARTED;
         if (started && connectionOpen) {
-            // It is running and must not run twice; the old connection may still bring the answer.
+            // It is running and must not run twice; its answer may still arrive on the old
+            // connection.
             mFencing.set(false);
             return;
         }
--- a/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedAttempt.java
@@ -24,8 +24,8 @@
 /**
  * An attempt at the owner of the request's Idempotency-Key.
  *
- * <p>The owner runs the key at most once, however often the request reaches it. A retry at the
- * owner is therefore safe, and at no other node. A timeout leads to a new attempt over a new
+ * <p>The owner runs the key at most once, however often the request reaches it. A retry is
+ * therefore safe at the owner, and only there. A timeout leads to a new attempt over a new
  * connection, not to a fence.
  */
 final class KeyedAttempt implements TargetAttempt, UpstreamExchange.Listener {
--- a/src/main/java/org/apricotgauge/caller/KeyedRequestHandler.java
+++ b/src/main/java/org/apricotgauge/caller/KeyedRequestHandler.java
@@ -52,8 +52,9 @@
      * Runs, replays or refuses a submission whose key this node owns.
      *
      * <p>A submission for the predecessor is recorded as well, so that its key doesn't also run in
-     * the fleet once its bucket has moved. It is never refused because this node became the owner
-     * only recently: an earlier submission ran at the predecessor, which handles duplicates itself.
+     * the fleet once the fleet's share has grown to include it. It is never refused because this
+     * node became the owner only recently: an earlier submission ran at the predecessor, which
+     * handles duplicates itself.
      *
      * @param servedByPredecessor whether the predecessor serves the request
      */
--- a/src/main/java/org/apricotgauge/caller/RequesterResolver.java
+++ b/src/main/java/org/apricotgauge/caller/RequesterResolver.java
@@ -50,7 +50,10 @@
         return Optional.empty();
     }
 
-    /** Returns the requester of a hop; another entry granted access, perhaps by another version. */
+    /**
+     * Returns the requester of a hop; the sending entry has granted access, perhaps by another
+     * configuration version.
+     */
     static Optional<Requester> resolveHop(
             Configuration configuration, Route route, Request request) {
         String id = request.getHeaders().get(HeaderNames.MEMBER);
--- a/src/main/java/org/apricotgauge/caller/TargetSelector.java
+++ b/src/main/java/org/apricotgauge/caller/TargetSelector.java
@@ -49,7 +49,8 @@
      * Creates the selector of one request.
      *
      * @param table supplies the current service. A request may take seconds; a target that began to
-     *     leave after its arrival would refuse it, at the cost of a hop and some milliseconds
+     *     leave after the request arrived would refuse it, at the cost of a hop and some
+     *     milliseconds
      */
     TargetSelector(EntryContext context, Supplier<ServiceTable> table, boolean idempotent) {
         mContext = context;
--- a/src/main/java/org/apricotgauge/target/ExitDetector.java
+++ b/src/main/java/org/apricotgauge/target/ExitDetector.java
@@ -29,7 +29,7 @@
     /** Delay before the probe, within which all other connections of an ended process break. */
     static final long SETTLE_MILLIS = 30;
 
-    /** Longest time for which the report of a broken run to its caller waits for the probe. */
+    /** Longest time for which the outcome of a broken run is delayed for the probe. */
     static final long MAX_WAIT_MILLIS = 100;
 
     /** Most runs that are reported with one exit; the first to break are kept. */
@@ -41,7 +41,7 @@
     private final BiConsumer<Target, List<BrokenRun>> mOnExit;
     private final ConcurrentMap<String, ExitCheck> mChecks = new ConcurrentHashMap<>();
 
-    /** One probe of a target, and the runs that broke until its result. */
+    /** One probe of a target, and the runs that broke before its result arrived. */
     private static final class ExitCheck {
         private final List<BrokenRun> mRuns = new ArrayList<>();
         private final CompletableFuture<Void> mDone = new CompletableFuture<>();
--- a/src/main/java/org/apricotgauge/target/GuardHandler.java
+++ b/src/main/java/org/apricotgauge/target/GuardHandler.java
@@ -51,7 +51,8 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Handles the last hop before the targets of this node's VM: limits, queues, fences and forwards.
+ * Handles the last hop before the targets of this node's VM: it limits, queues, fences and forwards
+ * attempts.
  *
  * <p>Other nodes send it attempts ({@link Attempt#HEADER}) and control requests ({@link
  * HeaderNames#CONTROL}), such as one for its stamp, a fence, or the abandonment of an attempt.
@@ -342,7 +343,7 @@
         guardedRequest.start();
     }
 
-    // The route is the kind of work; a guard without that route yet has no estimate for it either.
+    // The kind of work is the route; a guard without that route yet has no estimate for it.
     private String workKindOf(Request request) {
         String path = request.getHttpURI().getPath();
         return mRoutingTable
@@ -379,7 +380,7 @@
         return new Ticket(
                 mTicketIds.incrementAndGet(),
                 member,
-                // The parent request holds a slot while it waits, whatever the call's route says.
+                // Overrides the route's priority: the parent holds a slot until its call ends.
                 isCall ? Priority.CRITICAL : priorityOf(request),
                 workKindOf(request),
                 isCall,
@@ -404,7 +405,7 @@
                 () -> mContext.observer().onRetryStarted(id));
     }
 
-    // Entries of older releases don't send the header; their requests tolerate any risk.
+    // Entries of older releases don't send the header; NONE lets their requests start at any risk.
     private static HealthGate.RiskTolerance riskToleranceOf(Request request) {
         String value = request.getHeaders().get(HeaderNames.RISK_TOLERANCE);
         for (HealthGate.RiskTolerance riskTolerance : HealthGate.RiskTolerance.values()) {
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -147,7 +147,7 @@
         }
         mGate.submit(mTicket, this);
         if (mDraining) {
-            // The node began to drain between the arrival and the queue.
+            // The node began to drain after the request arrived and before it was queued.
             onDraining();
         }
     }
--- a/src/main/java/org/apricotgauge/target/LimitReporter.java
+++ b/src/main/java/org/apricotgauge/target/LimitReporter.java
@@ -34,7 +34,7 @@
         onChange.accept(target, limit);
     }
 
-    /** Reports that a target declares an unreadable limit; the last readable one stays. */
+    /** Reports that a target declares an unreadable limit; the last readable one stays in force. */
     void unreadable(Target target, String text) {
         log.limitUnreadable(target, text);
     }
--- a/src/main/java/org/apricotgauge/target/RetryCharge.java
+++ b/src/main/java/org/apricotgauge/target/RetryCharge.java
@@ -46,7 +46,7 @@
      * @param headers headers of the hop
      * @param budget this guard's share of the service's retry budget
      * @param ticker clock of the budget
-     * @param onRetry called when a retry is let through
+     * @param onRetry called when a retry may be sent
      */
     RetryCharge(HttpFields headers, RetryBudget budget, Ticker ticker, Runnable onRetry) {
         mKind = kindOf(headers);
--- a/src/main/java/org/apricotgauge/target/RunIdentity.java
+++ b/src/main/java/org/apricotgauge/target/RunIdentity.java
@@ -47,15 +47,15 @@
     }
 
     /**
-     * Runs an action once the fingerprint is complete, if a request with the same head was running
-     * during a crash; at once otherwise.
+     * Runs an action at once or, if a request with the same head was running during a crash, after
+     * reading ahead in the body to complete the fingerprint.
      */
     void whenIdentified(QuarantineTable quarantine, Runnable action) {
         if (mBodyHash.isComplete() || !quarantine.isSuspectHead(mHeadHash)) {
             action.run();
             return;
         }
-        // A body that is truncated here fails the attempt when it reads the body next.
+        // If the body is truncated, the attempt fails when it reads the body to send it.
         mReplayableBody.readAhead(mBodyHash).whenComplete((read, failure) -> action.run());
     }
 
--- a/src/main/java/org/apricotgauge/target/RunMonitor.java
+++ b/src/main/java/org/apricotgauge/target/RunMonitor.java
@@ -21,7 +21,9 @@
  * deadline. The outcome of a run is reported once. Thread-safe.
  */
 final class RunMonitor {
-    /** Checks per run timeout of a run that has exceeded its timeout. */
+    /**
+     * A run that has exceeded its timeout is checked at intervals of the timeout divided by this.
+     */
     private static final int CHECKS_PER_TIMEOUT = 4;
 
     private final GuardContext mContext;
--- a/src/main/java/org/apricotgauge/target/SendCheck.java
+++ b/src/main/java/org/apricotgauge/target/SendCheck.java
@@ -41,13 +41,12 @@
     }
 
     /**
-     * Returns why no byte of a request may be written, or null if the run has started.
+     * Returns why no byte of a request may be written, or null after recording its start.
      *
      * <p>The checks are repeated because the state may have changed while the request waited for a
-     * connection. The target may have announced that it is leaving and would receive the request
-     * after the time for which it still serves. The request may have been quarantined because a
-     * third target crashed while it ran a duplicate of it. A fence may have been answered with "not
-     * run".
+     * connection. The target may have announced that it is leaving, and would receive the request
+     * after it has stopped serving. The request may have been quarantined because a third target
+     * crashed while it ran a duplicate of it. A fence may have been answered with "not run".
      */
     NotRunReason checkBeforeFirstByte(Attempt attempt) {
         NotRunReason rejection = checkTarget();
--- a/src/main/java/org/apricotgauge/target/TargetGate.java
+++ b/src/main/java/org/apricotgauge/target/TargetGate.java
@@ -30,7 +30,7 @@
  * }</pre>
  *
  * <p>Exactly one method of each listener is called unless its ticket is cancelled, on the thread
- * that freed the slot or found the deadline too close. Thread-safe.
+ * that freed the slot or determined that the deadline can't be met. Thread-safe.
  */
 final class TargetGate {
     private static final double PERMILLE = 1_000.0;
@@ -91,7 +91,7 @@
      * Handles the notice of the target's state in one of its answers.
      *
      * @param ran whether the target ran the request
-     * @param sentMillis when the request was sent that the answer belongs to
+     * @param sentMillis when the answered request was sent
      */
     void handleNotice(TargetNotice notice, boolean ran, long sentMillis) {
         mLeaving |= notice.leaving();
--- a/src/main/java/org/apricotgauge/target/TargetLimitTracker.java
+++ b/src/main/java/org/apricotgauge/target/TargetLimitTracker.java
@@ -10,9 +10,9 @@
 /**
  * Applies the rate limit that a target declares in its answers to the target's queue.
  *
- * <p>All requests pass the guard beside the target, so that limiting starts here limits those of
- * all nodes. Answers may arrive out of order: only an answer to a request that was sent after the
- * limit was last declared can lift it by omitting it. Thread-safe.
+ * <p>All requests pass the guard beside the target, so the limit that it enforces covers the
+ * requests of all nodes together. Answers may arrive out of order: only an answer to a request that
+ * was sent after the limit was last declared can lift it by omitting it. Thread-safe.
  */
 final class TargetLimitTracker {
     private final Target mTarget;
@@ -43,7 +43,7 @@
      *
      * @param ran whether the target ran the request; a target that rejects it is overloaded, and
      *     does not lift its limit by omitting it
-     * @param sentMillis when the request was sent that the answer belongs to
+     * @param sentMillis when the answered request was sent
      */
     synchronized QueueChanges handleNotice(
             TargetNotice notice, boolean ran, long sentMillis, long nowMillis) {
--- a/src/main/java/org/apricotgauge/target/TargetRunLog.java
+++ b/src/main/java/org/apricotgauge/target/TargetRunLog.java
@@ -73,7 +73,7 @@
         return limit.map(StartLimit::perSecond).orElse(null);
     }
 
-    /** Logs that a target declares an unreadable rate limit; the last readable one stays. */
+    /** Logs that a target declares an unreadable limit; the last readable one stays in force. */
     void limitUnreadable(Target target, String text) {
         mLog.info(
                 "limit of a target is unreadable",
--- a/src/test/java/org/apricotgauge/caller/CapturingResponseTest.java
+++ b/src/test/java/org/apricotgauge/caller/CapturingResponseTest.java
@@ -61,7 +61,7 @@
         }
     }
 
-    // Guards against an entry that takes a long booking for a dead path, and against two writes at
+    // Guards against an entry that treats a long booking as a dead path, and against two writes at
     // the same time, which a response doesn't permit.
     @Test
     void sendsHeartbeatsUntilTheAnswerBeginsWithoutOverlap() {
--- a/src/test/java/org/apricotgauge/target/RunDeadlineTest.java
+++ b/src/test/java/org/apricotgauge/target/RunDeadlineTest.java
@@ -9,7 +9,8 @@
     @Test
     void runMayUseAllRemainingTimeOfTheEntry() {
         // The answer comes 50 ms before the caller's deadline and after the attempt's latest start.
-        // An abort at the latest start would make it an "unknown" without need on a stopping node.
+        // If it were aborted at the latest start, a stopping node would needlessly report
+        // "unknown".
         RunDeadline deadline = RunDeadline.of(1_500, 10_000 + 1_400, 10_000);
 
         assertThat(deadline.remainingMillis(11_450)).isEqualTo(50);
--- a/src/test/java/org/apricotgauge/target/TargetLimitTrackerTest.java
+++ b/src/test/java/org/apricotgauge/target/TargetLimitTrackerTest.java
@@ -54,7 +54,7 @@
                         Optional.empty());
     }
 
-    /** Guards against lifting a limit by an answer that was given before it was declared. */
+    /** Guards against lifting a limit by an answer to a request sent before it was declared. */
     @Test
     void answerToAnEarlierRequestDoesNotLiftTheLimit() {
         mTracker.handleNotice(noticeWithLimit("2"), true, 0, 100);
