--- a/src/main/java/org/apricotgauge/control/PlatformReader.java
+++ b/src/main/java/org/apricotgauge/control/PlatformReader.java
@@ -273,7 +273,7 @@
         }
     }
 
-    /** Handles an answer; returns whether it was as new as this node's state. */
+    /** Handles an answer; returns whether it was at least as recent as this node's state. */
     private interface AnswerHandler<T> {
         boolean handle(T answer, long nowMillis);
     }
--- a/src/main/java/org/apricotgauge/http/HttpServerFactory.java
+++ b/src/main/java/org/apricotgauge/http/HttpServerFactory.java
@@ -58,7 +58,7 @@
         configuration.setSendXPoweredBy(false);
         configuration.setSendDateHeader(false);
         // Jetty's header cache takes 95 KB per connection, which at 4,000 connections of callers is
-        // more than the whole slot.
+        // more than the node's memory limit.
         configuration.setHeaderCacheSize(HEADER_CACHE_BYTES);
         configuration.setRequestHeaderSize(MAX_HEADER_BYTES);
         configuration.setResponseHeaderSize(MAX_HEADER_BYTES);
--- a/src/main/java/org/apricotgauge/http/ReplayableBody.java
+++ b/src/main/java/org/apricotgauge/http/ReplayableBody.java
@@ -23,7 +23,7 @@
  * }</pre>
  *
  * <p>At most {@code maxBufferedBytes} are buffered; beyond that the buffer is dropped and the body
- * cannot be sent again, so that only small bodies are held whole. Opening the body again
+ * cannot be sent again, so that only small bodies are buffered in full. Opening the body again
  * invalidates the content returned before: a late reader of an abandoned attempt gets an error,
  * never bytes meant for the next one.
  */
--- a/src/main/java/org/apricotgauge/node/ControlEventRecorder.java
+++ b/src/main/java/org/apricotgauge/node/ControlEventRecorder.java
@@ -35,7 +35,7 @@
         }
         for (String peer : suspected) {
             if (!mSuspected.contains(peer)) {
-                mEvents.record(new PeerSuspected(peer, "no probed node can reach it"));
+                mEvents.record(new PeerSuspected(peer, "no node that was asked reaches it"));
             }
         }
         for (String peer : mSuspected) {
--- a/src/main/java/org/apricotgauge/node/CrashMessageTransport.java
+++ b/src/main/java/org/apricotgauge/node/CrashMessageTransport.java
@@ -14,7 +14,7 @@
 
 /**
  * Sends and receives crash messages, one per datagram; {@link
- * org.apricotgauge.decision.quarantine.CrashGossip} makes up for lost ones.
+ * org.apricotgauge.decision.quarantine.CrashGossip} compensates for lost ones.
  */
 final class CrashMessageTransport implements AutoCloseable {
     private static final ObjectMapper MAPPER = mapper();
--- a/src/main/java/org/apricotgauge/node/DetectionService.java
+++ b/src/main/java/org/apricotgauge/node/DetectionService.java
@@ -152,9 +152,9 @@
     }
 
     // A node may serve requests for any of thousands of services, and a detector takes some 50 to
-    // 200 KB. Without a bound a node would exceed its slot's memory within the hour. The least
-    // recently used are evicted first; one that keeps a target out of service stays, as the target
-    // would get requests again without it.
+    // 200 KB. Without a bound a node would exceed its memory limit within the hour. The least
+    // recently used are evicted first. One that keeps a target out of service is never evicted, as
+    // the target would get requests again without it.
     private void evict() {
         int excess = mDetectors.size() - MAX_DETECTORS;
         if (excess <= 0) {
--- a/src/main/java/org/apricotgauge/node/DirectoryControl.java
+++ b/src/main/java/org/apricotgauge/node/DirectoryControl.java
@@ -43,8 +43,8 @@
     private static final String UNREADABLE_HINTS = "directory.unreadable_hints";
 
     /**
-     * Minimum interval between two acknowledgements that carry the view's age, in milliseconds; on
-     * each of hundreds a second it would cost more than it is worth.
+     * Minimum interval between two acknowledgements that carry the view's age, in milliseconds; the
+     * age on each of hundreds of acknowledgements a second would cost more than it saves.
      */
     static final long AGE_REPORT_INTERVAL_MILLIS = 10;
 
@@ -290,8 +290,8 @@
         }
     }
 
-    // An older view confirms nothing useful, and after a pause of the process the age would be too
-    // low.
+    // A view older than the maximum age cannot confirm another node's view, and after a pause of
+    // the process the computed age would be too low.
     private boolean shouldReportAge(SiteView view) {
         long nowMillis = mDependencies.ticker().millis();
         long reportedAtMillis = mAgeReportedAtMillis.get();
--- a/src/main/java/org/apricotgauge/node/EvidenceHeaders.java
+++ b/src/main/java/org/apricotgauge/node/EvidenceHeaders.java
@@ -24,7 +24,8 @@
     static final long REFRESH_MILLIS = 50;
 
     // At 240 responses a second for each node, evidence on each would be 50 KB a second, twice what
-    // control traffic may cost. Counts are cumulative: a later response has what is left out.
+    // control traffic may cost. Counts are cumulative: a later response includes what an earlier
+    // one left out.
     static final int BYTES_PER_SECOND = 5_000;
 
     private final Ticker mTicker;
--- a/src/main/java/org/apricotgauge/node/EvidencePublisher.java
+++ b/src/main/java/org/apricotgauge/node/EvidencePublisher.java
@@ -18,7 +18,7 @@
  * <p>Evidence is sent on responses, and an ejected target gives none: without this class, entries
  * that don't probe the target themselves would never learn that it is healthy again. Evidence is
  * published at most every three seconds for each service, only if it changed, and only while one of
- * this VM's targets is unhealthy or recovered just now.
+ * this VM's targets is unhealthy or has just recovered.
  */
 final class EvidencePublisher {
     private static final long INTERVAL_MILLIS = 3_000;
--- a/src/main/java/org/apricotgauge/node/HealthReportService.java
+++ b/src/main/java/org/apricotgauge/node/HealthReportService.java
@@ -18,8 +18,8 @@
  * Sends health reports on the targets of this VM to other entries by datagrams, and applies those
  * of other nodes.
  *
- * <p>A lost datagram is made up for by the next one or by the guard's refusal; reports affect only
- * the choice of a target.
+ * <p>Lost datagrams are not resent: the next report or a refusal by the guard gives the same
+ * information, and reports affect only the choice of a target.
  */
 final class HealthReportService implements AutoCloseable {
     private static final String TARGET = "target";
--- a/src/main/java/org/apricotgauge/node/RoutingState.java
+++ b/src/main/java/org/apricotgauge/node/RoutingState.java
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Records that a target reported itself as leaving, for the rest of its life and regardless of
-     * the members; returns whether that was not recorded before.
+     * Records that a target reported itself as leaving, until it ends and regardless of the
+     * members; returns whether that was not recorded before.
      */
     boolean recordSelfReportedLeaving(Target target) {
         if (mSelfReportedLeaving.contains(target.id())) {
--- a/src/main/java/org/apricotgauge/node/SidecarSettings.java
+++ b/src/main/java/org/apricotgauge/node/SidecarSettings.java
@@ -77,7 +77,7 @@
     /**
      * How long a stopping node serves as before, in milliseconds: the platform checks readiness
      * once a second and routes callers elsewhere after two failures; half a second is for the last
-     * ones.
+     * callers that are routed here.
      */
     private static final long ANNOUNCE_MILLIS = 2_700;
 
@@ -96,8 +96,9 @@
     private static final DetectionOdds ODDS = new DetectionOdds(300, 1);
 
     /**
-     * Evidence for the slow tests of detection, in bytes a second. Health is reported by datagrams
-     * here, and traffic between failure domains is charged.
+     * Maximum evidence on a node's responses, in bytes a second; it serves the slow tests of
+     * detection. Health is reported by datagrams here, and traffic between failure domains is
+     * charged.
      */
     private static final int EVIDENCE_BYTES_PER_SECOND = 500;
 
--- a/src/main/java/org/apricotgauge/node/Signals.java
+++ b/src/main/java/org/apricotgauge/node/Signals.java
@@ -9,8 +9,9 @@
  * Installs handlers of signals, for which Java has no public interface.
  *
  * <p>Without a handler, a SIGHUP ends the process as a SIGTERM does, and a platform that signals a
- * change of settings would interrupt every request in flight. The class is part of the JDK's module
- * {@code jdk.unsupported}; it is called by reflection, as the compiler warns of a direct use.
+ * change of settings would interrupt every request in flight. {@code sun.misc.Signal} is part of
+ * the JDK's module {@code jdk.unsupported}; it is called by reflection, as the compiler warns of a
+ * direct use.
  */
 final class Signals {
     private static final Logger LOGGER = Logger.getLogger(Signals.class);
--- a/src/main/java/org/apricotgauge/node/UnstartedControl.java
+++ b/src/main/java/org/apricotgauge/node/UnstartedControl.java
@@ -4,7 +4,7 @@
 import org.apricotgauge.model.SiteView;
 import org.eclipse.jetty.http.HttpFields;
 
-/** The control of a node until its real one is started: without state, and it may not act. */
+/** The control of a node until the real one is started; it has no state to act on. */
 final class UnstartedControl implements NodeControl {
     private static final byte[] EMPTY_PAGE = {};
 
--- a/src/test/java/org/apricotgauge/node/EvidenceHeadersTest.java
+++ b/src/test/java/org/apricotgauge/node/EvidenceHeadersTest.java
@@ -43,7 +43,7 @@
     @Test
     void boundsEvidenceBytesPerSecond() {
         // Evidence on each of a thousand responses a second would cost more than control traffic
-        // may, so most responses carry none until the next second. Callers see nothing of it.
+        // may, so most responses carry none until the next second. Callers cannot observe this.
         mTicker.advanceMillis(1_000);
         int firstBytes = evidenceBytes(1_000);
         assertThat(firstBytes).isBetween(1, EvidenceHeaders.BYTES_PER_SECOND);
