--- a/src/main/java/org/apricotgauge/caller/CallerExchange.java
+++ b/src/main/java/org/apricotgauge/caller/CallerExchange.java
@@ -55,8 +55,8 @@
     private TargetAttempt mCurrentAttempt;
     private boolean mCurrentAttemptBegun;
     private boolean mReachedTarget;
-    private boolean mRetryPaid;
-    private boolean mNextRetryPaid;
+    private boolean mRetryPrepaid;
+    private boolean mNextRetryPrepaid;
     private BufferedAnswer mBufferedAnswer;
     private Attempt mOwnerAttempt;
     private boolean mEnded;
@@ -171,33 +171,33 @@
     }
 
     /** Records that the guard of the current attempt has charged the next run to its allowance. */
-    void onRetryPaid(TargetAttempt attempt) {
+    void onRetryPrepaid(TargetAttempt attempt) {
         synchronized (this) {
-            mNextRetryPaid |= attempt == mCurrentAttempt;
+            mNextRetryPrepaid |= attempt == mCurrentAttempt;
         }
     }
 
     /** Returns whether the guard of the previous run has charged this one to its allowance. */
-    boolean isRetryPaid() {
+    boolean isRetryPrepaid() {
         synchronized (this) {
-            return mRetryPaid;
+            return mRetryPrepaid;
         }
     }
 
     // A payment covers all attempts up to the first that reaches a target.
-    private void updateRetryPaid(boolean reached) {
+    private void updateRetryPrepaid(boolean reached) {
         if (reached) {
-            mRetryPaid = mNextRetryPaid;
-            mNextRetryPaid = false;
+            mRetryPrepaid = mNextRetryPrepaid;
+            mNextRetryPrepaid = false;
         }
     }
 
     /** Returns the risk tolerance of the current attempt. */
-    HealthGate.RiskTolerance riskTolerance() {
+    HealthGate.TargetRestriction targetRestriction() {
         synchronized (this) {
             return mSelector.isLastResort()
-                    ? HealthGate.RiskTolerance.NONE
-                    : mContext.retryPolicy().riskTolerance(mProgress, maxRuns());
+                    ? HealthGate.TargetRestriction.NONE
+                    : mContext.retryPolicy().targetRestriction(mProgress, maxRuns());
         }
     }
 
@@ -250,7 +250,7 @@
             return;
         }
         Candidate candidate = choice.get();
-        mReporter.recordSend(candidate, riskTolerance().name());
+        mReporter.recordSend(candidate, targetRestriction().name());
         boolean sendDirect =
                 mContext.targetAccess() == EntryOptions.TargetAccess.GUARD_OR_DIRECT
                         && !mContext.hasReachableGuard(candidate);
@@ -350,7 +350,7 @@
             mCurrentAttempt = null;
             mProgress = mProgress.after(outcome);
             mReachedTarget |= reachedTarget(outcome);
-            updateRetryPaid(reachedTarget(outcome));
+            updateRetryPrepaid(reachedTarget(outcome));
             mReporter.recordStep(outcome.toString());
             decision = decide();
         }
@@ -396,7 +396,7 @@
             // Only the predecessor retries what it serves; with both, retries would multiply.
             retry = !mUsesPredecessor && !(decide() instanceof RetryDecision.Finish);
             mReachedTarget = true;
-            updateRetryPaid(true);
+            updateRetryPrepaid(true);
             if (retry) {
                 mCurrentAttempt = null;
             } else {
--- a/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
@@ -128,8 +128,8 @@
                     headers.put(HeaderNames.TIMEOUT_MILLIS, remainingMillis);
                     headers.put(HeaderNames.PRIORITY, priority());
                     headers.put(
-                            HeaderNames.RISK_TOLERANCE,
-                            mExchange.riskTolerance().name().toLowerCase(Locale.ROOT));
+                            HeaderNames.TARGET_RESTRICTION,
+                            mExchange.targetRestriction().name().toLowerCase(Locale.ROOT));
                     mCandidate
                             .load()
                             .startLimit()
@@ -153,7 +153,7 @@
         if (mExchange.isRetry()) {
             headers.put(
                     HeaderNames.RETRY,
-                    mExchange.isRetryPaid()
+                    mExchange.isRetryPrepaid()
                             ? HeaderNames.RETRY_PREPAID
                             : HeaderNames.RETRY_OF_REQUEST);
         } else if (parentIsRetry) {
@@ -216,7 +216,7 @@
             mContext.observer().onTargetLeaving(mCandidate.target());
         }
         if (headers.contains(HeaderNames.NEXT_RETRY_PREPAID)) {
-            mExchange.onRetryPaid(this);
+            mExchange.onRetryPrepaid(this);
         }
         Optional<Outcome> outcome = OutcomeCodec.read(headers);
         if (outcome.isPresent()) {
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryPolicy.java
@@ -91,12 +91,15 @@
      *
      * @param maxRuns most targets that may run the request, as configured for its route
      */
-    public HealthGate.RiskTolerance riskTolerance(SubmissionProgress progress, int maxRuns) {
+    public HealthGate.TargetRestriction targetRestriction(
+            SubmissionProgress progress, int maxRuns) {
         if (progress.attempts() + 1 >= maxAttempts) {
-            return HealthGate.RiskTolerance.NONE;
+            return HealthGate.TargetRestriction.NONE;
         }
         boolean mayFailOnce = progress.idempotent() && progress.possibleRuns() + 1 < maxRuns;
-        return mayFailOnce ? HealthGate.RiskTolerance.MAY_TRY : HealthGate.RiskTolerance.STEADY;
+        return mayFailOnce
+                ? HealthGate.TargetRestriction.MAY_TRY
+                : HealthGate.TargetRestriction.STEADY;
     }
 
     private static RetryDecision decideByOutcome(SubmissionProgress progress) {
--- a/src/main/java/org/apricotgauge/decision/health/HealthGate.java
+++ b/src/main/java/org/apricotgauge/decision/health/HealthGate.java
@@ -48,7 +48,7 @@
     private long mLastFailedStartMillis = Long.MIN_VALUE / 2;
 
     /** Risk that a request may take of failing at its target; sent between nodes by name. */
-    public enum RiskTolerance {
+    public enum TargetRestriction {
         /**
          * Lowest risk: the request is not idempotent, or has no further run left, and starts only
          * at a target below {@link HealthGate#NON_IDEMPOTENT_LIMIT}.
@@ -100,13 +100,13 @@
     }
 
     /** Returns whether a request may start at the target now. */
-    public synchronized boolean mayStart(RiskTolerance riskTolerance, long nowMillis) {
+    public synchronized boolean mayStart(TargetRestriction riskTolerance, long nowMillis) {
         Checks.notNull("riskTolerance", riskTolerance);
         double probability = mFilter.probabilityAt(nowMillis);
-        if (riskTolerance == RiskTolerance.STEADY) {
+        if (riskTolerance == TargetRestriction.STEADY) {
             return probability < NON_IDEMPOTENT_LIMIT;
         }
-        if (riskTolerance == RiskTolerance.NONE || probability < SUSPECT_PROBABILITY) {
+        if (riskTolerance == TargetRestriction.NONE || probability < SUSPECT_PROBABILITY) {
             return true;
         }
         if (probability > MAX_PROBE_PROBABILITY
--- a/src/main/java/org/apricotgauge/http/HeaderNames.java
+++ b/src/main/java/org/apricotgauge/http/HeaderNames.java
@@ -72,7 +72,7 @@
     public static final String RETRY_OF_PARENT = "parent";
 
     /** Hops: risk tolerance of the request; see {@code HealthGate.RiskTolerance}. */
-    public static final String RISK_TOLERANCE = "Apricotgauge-Caution";
+    public static final String TARGET_RESTRICTION = "Apricotgauge-Caution";
 
     /** Hops: whether the request may wait for a slot; see {@code QueueingPolicy}. */
     public static final String QUEUEING_POLICY = "Apricotgauge-Patience";
--- a/src/main/java/org/apricotgauge/target/GuardHandler.java
+++ b/src/main/java/org/apricotgauge/target/GuardHandler.java
@@ -337,7 +337,7 @@
                         request,
                         response,
                         countingCallback,
-                        riskToleranceOf(request),
+                        targetRestrictionOf(request),
                         retryChargeOf(target, request));
         mRequests.put(attempt, guardedRequest);
         guardedRequest.start();
@@ -406,14 +406,14 @@
     }
 
     // Entries of older releases don't send the header; NONE lets their requests start at any risk.
-    private static HealthGate.RiskTolerance riskToleranceOf(Request request) {
-        String value = request.getHeaders().get(HeaderNames.RISK_TOLERANCE);
-        for (HealthGate.RiskTolerance riskTolerance : HealthGate.RiskTolerance.values()) {
+    private static HealthGate.TargetRestriction targetRestrictionOf(Request request) {
+        String value = request.getHeaders().get(HeaderNames.TARGET_RESTRICTION);
+        for (HealthGate.TargetRestriction riskTolerance : HealthGate.TargetRestriction.values()) {
             if (riskTolerance.name().toLowerCase(Locale.ROOT).equals(value)) {
                 return riskTolerance;
             }
         }
-        return HealthGate.RiskTolerance.NONE;
+        return HealthGate.TargetRestriction.NONE;
     }
 
     // Entries of older releases don't send the header; their requests may be queued.
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -48,7 +48,7 @@
     private final Request mRequest;
     private final Response mResponse;
     private final Callback mCallback;
-    private final HealthGate.RiskTolerance mRiskTolerance;
+    private final HealthGate.TargetRestriction mTargetRestriction;
     private final RetryCharge mRetryCharge;
     private final RunDeadline mRunDeadline;
     private final long mArrivedMillis;
@@ -91,9 +91,9 @@
             Request request,
             Response response,
             Callback callback,
-            HealthGate.RiskTolerance riskTolerance,
+            HealthGate.TargetRestriction riskTolerance,
             RetryCharge retryCharge) {
-        mRiskTolerance = riskTolerance;
+        mTargetRestriction = riskTolerance;
         mArrivedMillis = context.ticker().millis();
         mRunDeadline =
                 RunDeadline.of(
@@ -181,7 +181,7 @@
     public void admitted() {
         mAdmittedMillis = mContext.ticker().millis();
         mSiteView = mContext.observer().siteView();
-        NotRunReason rejection = mSendCheck.checkAdmitted(mRiskTolerance, mRetryCharge);
+        NotRunReason rejection = mSendCheck.checkAdmitted(mTargetRestriction, mRetryCharge);
         if (rejection != null) {
             rejectAdmitted(rejection);
             return;
@@ -285,7 +285,7 @@
     // next target before it is known that this target has ended.
     private void writeUnknown() {
         boolean isQuarantined = quarantineMillis() > 0;
-        prepayRetry(mRiskTolerance == HealthGate.RiskTolerance.MAY_TRY && !isQuarantined);
+        prepayRetry(mTargetRestriction == HealthGate.TargetRestriction.MAY_TRY && !isQuarantined);
         mContext.observer().addAnswerHeaders(mGate.target(), mResponse.getHeaders());
         Outcome.Unknown outcome =
                 new Outcome.Unknown(
@@ -320,7 +320,7 @@
         }
         ResponseForwarder.copyHead(answer, mResponse);
         prepayRetry(
-                mRiskTolerance == HealthGate.RiskTolerance.MAY_TRY
+                mTargetRestriction == HealthGate.TargetRestriction.MAY_TRY
                         && HttpStatus.isServerError(answer.getStatus()));
         mResponse.getHeaders().put(Attempt.HEADER, mAttempt.toString());
         if (HttpStatus.isServerError(answer.getStatus()) && hasFailedCall()) {
@@ -365,7 +365,7 @@
         if (!shed) {
             mGate.markReplaced();
         }
-        prepayRetry(mRiskTolerance != HealthGate.RiskTolerance.NONE);
+        prepayRetry(mTargetRestriction != HealthGate.TargetRestriction.NONE);
         releaseSlot(
                 shed ? RunResult.SHED : RunResult.CANCELLED,
                 shed ? ObservedOutcome.SHED : ObservedOutcome.CANCELLED);
@@ -435,7 +435,7 @@
     // A hung target would keep the request until its deadline though others could serve it.
     private void abortForFailover() {
         UpstreamExchange exchange = mExchange;
-        if (mRiskTolerance != HealthGate.RiskTolerance.MAY_TRY
+        if (mTargetRestriction != HealthGate.TargetRestriction.MAY_TRY
                 || exchange == null
                 || mPhase.get() != Phase.SENDING
                 || mRetryPrepaid
--- a/src/main/java/org/apricotgauge/target/SendCheck.java
+++ b/src/main/java/org/apricotgauge/target/SendCheck.java
@@ -29,7 +29,8 @@
      * @param riskTolerance how much risk of a degraded target the request tolerates
      * @param retryCharge charges the retry budget if the request is a retry
      */
-    NotRunReason checkAdmitted(HealthGate.RiskTolerance riskTolerance, RetryCharge retryCharge) {
+    NotRunReason checkAdmitted(
+            HealthGate.TargetRestriction riskTolerance, RetryCharge retryCharge) {
         NotRunReason rejection = checkTarget();
         if (rejection != null) {
             return rejection;
--- a/src/test/java/org/apricotgauge/decision/attempt/RetryPolicyTest.java
+++ b/src/test/java/org/apricotgauge/decision/attempt/RetryPolicyTest.java
@@ -101,10 +101,14 @@
         SubmissionProgress failedOnce = fresh.after(new Outcome.Answered(500));
         SubmissionProgress booking = SubmissionProgress.of(false, false);
 
-        assertThat(POLICY.riskTolerance(fresh, 2)).isEqualTo(HealthGate.RiskTolerance.MAY_TRY);
-        assertThat(POLICY.riskTolerance(failedOnce, 2)).isEqualTo(HealthGate.RiskTolerance.STEADY);
-        assertThat(POLICY.riskTolerance(booking, 2)).isEqualTo(HealthGate.RiskTolerance.STEADY);
-        assertThat(POLICY.riskTolerance(fresh, 1)).isEqualTo(HealthGate.RiskTolerance.STEADY);
+        assertThat(POLICY.targetRestriction(fresh, 2))
+                .isEqualTo(HealthGate.TargetRestriction.MAY_TRY);
+        assertThat(POLICY.targetRestriction(failedOnce, 2))
+                .isEqualTo(HealthGate.TargetRestriction.STEADY);
+        assertThat(POLICY.targetRestriction(booking, 2))
+                .isEqualTo(HealthGate.TargetRestriction.STEADY);
+        assertThat(POLICY.targetRestriction(fresh, 1))
+                .isEqualTo(HealthGate.TargetRestriction.STEADY);
     }
 
     @Test
@@ -113,7 +117,8 @@
         SubmissionProgress refusedTwice =
                 SubmissionProgress.of(false, false).after(refused).after(refused);
 
-        assertThat(POLICY.riskTolerance(refusedTwice, 2)).isEqualTo(HealthGate.RiskTolerance.NONE);
+        assertThat(POLICY.targetRestriction(refusedTwice, 2))
+                .isEqualTo(HealthGate.TargetRestriction.NONE);
     }
 
     private static RetryDecision decide(SubmissionProgress progress) {
--- a/src/test/java/org/apricotgauge/decision/health/EpisodeSimulation.java
+++ b/src/test/java/org/apricotgauge/decision/health/EpisodeSimulation.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import org.apricotgauge.decision.health.HealthGate.RiskTolerance;
+import org.apricotgauge.decision.health.HealthGate.TargetRestriction;
 
 /**
  * Simulates requests to a service whose targets degrade by a model unknown to their gates.
@@ -103,10 +103,13 @@
     private void arrived(boolean counts) {
         boolean idempotent = mRandom.nextDouble() < mSite.idempotentShare();
         mNonIdempotent += counts && !idempotent ? 1 : 0;
-        send(idempotent ? RiskTolerance.MAY_TRY : RiskTolerance.STEADY, counts, idempotent ? 2 : 1);
+        send(
+                idempotent ? TargetRestriction.MAY_TRY : TargetRestriction.STEADY,
+                counts,
+                idempotent ? 2 : 1);
     }
 
-    private void send(RiskTolerance riskTolerance, boolean counts, int runs) {
+    private void send(TargetRestriction riskTolerance, boolean counts, int runs) {
         for (int target : order(riskTolerance)) {
             HealthGate gate = mGates.get(target);
             if (gate.mayStart(riskTolerance, mNowMillis)) {
@@ -114,19 +117,19 @@
                 return;
             }
         }
-        if (riskTolerance == RiskTolerance.STEADY && counts) {
+        if (riskTolerance == TargetRestriction.STEADY && counts) {
             mRefused++;
             mNonIdempotentFailed += runs == 1 ? 1 : 0;
         }
     }
 
-    private List<Integer> order(RiskTolerance riskTolerance) {
+    private List<Integer> order(TargetRestriction riskTolerance) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < mSite.targets(); i++) {
             all.add(mRandom.nextInt(all.size() + 1), i);
         }
         List<Integer> ordered = new ArrayList<>(all.subList(0, Math.min(mCandidates, all.size())));
-        if (riskTolerance == RiskTolerance.STEADY) {
+        if (riskTolerance == TargetRestriction.STEADY) {
             ordered.sort((a, b) -> Double.compare(probability(a), probability(b)));
         }
         ordered.addAll(all.subList(ordered.size(), all.size()));
@@ -138,7 +141,11 @@
     }
 
     private void start(
-            int target, HealthGate gate, RiskTolerance riskTolerance, boolean counts, int runs) {
+            int target,
+            HealthGate gate,
+            TargetRestriction riskTolerance,
+            boolean counts,
+            int runs) {
         boolean fails =
                 mRandom.nextDouble() < (isDegraded(target) ? mSite.degradedFailureRate() : 0.012);
         long durationMillis = fails ? mSite.failureMillis() : 300 + mRandom.nextInt(600);
@@ -163,7 +170,7 @@
             HealthGate gate,
             HealthGate.Run run,
             boolean fails,
-            RiskTolerance riskTolerance,
+            TargetRestriction riskTolerance,
             boolean counts,
             int runs) {
         if (fails && mHangs) {
@@ -173,7 +180,7 @@
         }
         if (fails && runs > 1) {
             mRetries++;
-            send(RiskTolerance.STEADY, counts, 0);
+            send(TargetRestriction.STEADY, counts, 0);
         } else if (fails && runs == 1 && counts) {
             mNonIdempotentFailed++;
         }
--- a/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
+++ b/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.within;
 
 import java.util.SplittableRandom;
-import org.apricotgauge.decision.health.HealthGate.RiskTolerance;
+import org.apricotgauge.decision.health.HealthGate.TargetRestriction;
 import org.junit.jupiter.api.Test;
 
 /** Decisions of a guard on targets with gray-failure episodes of some seconds. */
@@ -146,7 +146,7 @@
         HealthGate gate = new HealthGate();
         ended(gate, true, 0);
 
-        assertThat(gate.mayStart(RiskTolerance.NONE, 1)).isTrue();
+        assertThat(gate.mayStart(TargetRestriction.NONE, 1)).isTrue();
     }
 
     @Test
@@ -175,12 +175,12 @@
         for (long now = 0; now < 3_600 * SECOND; now += 250) {
             boolean degraded = now % (9 * SECOND) < 2_700;
             boolean fails = random.nextDouble() < (degraded ? 0.85 : 0.01);
-            RiskTolerance riskTolerance =
-                    random.nextInt(4) == 0 ? RiskTolerance.MAY_TRY : RiskTolerance.STEADY;
+            TargetRestriction riskTolerance =
+                    random.nextInt(4) == 0 ? TargetRestriction.MAY_TRY : TargetRestriction.STEADY;
             if (gate.mayStart(riskTolerance, now)) {
                 ended(gate, fails, now);
-                passed += riskTolerance == RiskTolerance.STEADY ? 1 : 0;
-                failed += riskTolerance == RiskTolerance.STEADY && fails ? 1 : 0;
+                passed += riskTolerance == TargetRestriction.STEADY ? 1 : 0;
+                failed += riskTolerance == TargetRestriction.STEADY && fails ? 1 : 0;
             }
         }
 
@@ -203,11 +203,11 @@
     }
 
     private static boolean maySendNonIdempotent(HealthGate gate, long nowMillis) {
-        return gate.mayStart(RiskTolerance.STEADY, nowMillis);
+        return gate.mayStart(TargetRestriction.STEADY, nowMillis);
     }
 
     private static boolean mayProbe(HealthGate gate, long nowMillis) {
-        return gate.mayStart(RiskTolerance.MAY_TRY, nowMillis);
+        return gate.mayStart(TargetRestriction.MAY_TRY, nowMillis);
     }
 
     private static double probability(HealthGate gate, long nowMillis) {
--- a/src/test/java/org/apricotgauge/http/EvictableConnectionPoolTest.java
+++ b/src/test/java/org/apricotgauge/http/EvictableConnectionPoolTest.java
@@ -12,7 +12,7 @@
 class EvictableConnectionPoolTest {
 
     @Test
-    void removesPlaceWithoutConnection() throws Exception {
+    void removesEntryWithoutConnection() throws Exception {
         // A node stops while a connection to a target is still being opened. The pool then removes
         // an entry without a connection. An exception there aborted the client's stop, seen once in
         // a test of the request path.
