--- a/src/main/java/org/apricotgauge/decision/RendezvousOrder.java
+++ b/src/main/java/org/apricotgauge/decision/RendezvousOrder.java
@@ -7,13 +7,13 @@
 import java.util.function.Function;
 
 /**
- * Orders members by rendezvous hashing, so that every node computes the same order.
+ * Orders elements by rendezvous hashing, so that every node computes the same order.
  *
  * <pre>{@code
  * List<Vm> order = RendezvousOrder.of("zone-a", vms, Vm::id);
  * }</pre>
  *
- * <p>Adding or removing a member does not change the relative order of the others.
+ * <p>Adding or removing an element does not change the relative order of the others.
  */
 public final class RendezvousOrder {
     private record Ranked<T>(T member, String name, long hash) {}
@@ -21,15 +21,15 @@
     private RendezvousOrder() {}
 
     /**
-     * Returns the members in rendezvous order, which does not depend on the order passed in.
+     * Returns the elements in rendezvous order, which does not depend on the order passed in.
      *
      * @param group name of the order; different groups have different orders
-     * @param members the members, without duplicates
-     * @param nameOf returns the name of a member, which must be the same on every node
+     * @param elements the elements, without duplicates
+     * @param nameOf returns the name of an element, which must be the same on every node
      */
-    public static <T> List<T> of(String group, Collection<T> members, Function<T, String> nameOf) {
-        return members.stream()
-                .map(member -> ranked(group, member, nameOf.apply(member)))
+    public static <T> List<T> of(String group, Collection<T> elements, Function<T, String> nameOf) {
+        return elements.stream()
+                .map(element -> ranked(group, element, nameOf.apply(element)))
                 .sorted(
                         Comparator.<Ranked<T>>comparingLong(Ranked::hash)
                                 .thenComparing(Ranked::name))
@@ -37,8 +37,8 @@
                 .toList();
     }
 
-    private static <T> Ranked<T> ranked(String group, T member, String name) {
+    private static <T> Ranked<T> ranked(String group, T element, String name) {
         long hash = Hashing.komihash5_0().hashStream().putString(group).putString(name).getAsLong();
-        return new Ranked<>(member, name, hash);
+        return new Ranked<>(element, name, hash);
     }
 }
--- a/src/main/java/org/apricotgauge/decision/access/AccessPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/access/AccessPolicy.java
@@ -14,8 +14,8 @@
  *
  * <p>If no member has a key in the configuration, every request is allowed. Otherwise a request
  * needs a key unless its route is open. An unknown key is denied on open routes too: its caller
- * assumes to be a member, and would be served as an anonymous caller. Called for each request, so
- * that a removed key stops working on connections that are already open.
+ * assumes that it is a member, and would otherwise be served as an anonymous caller. Called for
+ * each request, so that a removed key stops working on connections that are already open.
  */
 public final class AccessPolicy {
 
--- a/src/main/java/org/apricotgauge/decision/effect/NodeOutcomes.java
+++ b/src/main/java/org/apricotgauge/decision/effect/NodeOutcomes.java
@@ -5,8 +5,8 @@
 /**
  * The outcomes at one node before and after a change.
  *
- * @param before outcomes while earlier versions were in force
- * @param after outcomes while the version or a later one was in force
+ * @param before outcomes while versions before the change were in force
+ * @param after outcomes while the version with the change or a later one was in force
  */
 public record NodeOutcomes(OutcomeShare before, OutcomeShare after) {
 
--- a/src/main/java/org/apricotgauge/decision/effect/OutcomeShare.java
+++ b/src/main/java/org/apricotgauge/decision/effect/OutcomeShare.java
@@ -5,7 +5,7 @@
 /**
  * The number of requests, and how many of them had a bad outcome.
  *
- * @param bad requests that did not get the answer that they requested
+ * @param bad requests that did not get the requested answer
  * @param requests all requests
  */
 public record OutcomeShare(long bad, long requests) {
--- a/src/main/java/org/apricotgauge/decision/gossip/Dissemination.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/Dissemination.java
@@ -141,8 +141,9 @@
     }
 
     /**
-     * Adopts a decoded snapshot; null if it could not be decoded.
+     * Adopts a decoded snapshot if it is ahead of the local history and matches its digest.
      *
+     * @param snapshot the snapshot, or null if it could not be decoded
      * @param digest the expected digest, or null for a snapshot requested from a peer
      */
     void onDecoded(H snapshot, String digest) {
--- a/src/main/java/org/apricotgauge/decision/gossip/PeerFailureDetector.java
+++ b/src/main/java/org/apricotgauge/decision/gossip/PeerFailureDetector.java
@@ -14,7 +14,7 @@
  *
  * <p>If any of them reaches the peer, the path is at fault (often in one direction only), not the
  * peer; this node then only avoids the peer for a while. If none of them responds, this node may
- * itself be disconnected, and suspects nobody.
+ * itself be disconnected, and suspects no peer.
  */
 final class PeerFailureDetector {
     private static final int MAX_HELPERS = 3;
--- a/src/main/java/org/apricotgauge/decision/quarantine/CrashGossip.java
+++ b/src/main/java/org/apricotgauge/decision/quarantine/CrashGossip.java
@@ -24,10 +24,11 @@
  * at a fourth, so even the first crash must reach all nodes within a second or two. A changed
  * record is sent to a few random nodes, which forward it in turn; messages may be lost. A node that
  * was partitioned or has just started receives what it missed by comparing checksums: in each
- * interval, every node sends a comparison request to the node at a certain distance behind it in
- * the order of the fleet, so that each node also receives one, from another node each time. A node
- * that has just started receives them like any other. Nothing is sent while the table is empty. The
- * bytes that a node sends are bounded. Thread-safe.
+ * interval, every node sends a comparison request to the node a certain distance after it in the
+ * order of the fleet. The distance changes with each interval, so that each node also receives one
+ * request per interval, from another node each time. A node that has just started receives them
+ * like any other. Nothing is sent while the table is empty. The bytes that a node sends are
+ * bounded. Thread-safe.
  */
 public final class CrashGossip {
     /** Ticks in which a changed record is sent, each time to {@link #FANOUT} nodes. */
@@ -119,7 +120,10 @@
         mLastChangeMillis = mTicker.millis();
     }
 
-    /** Sends what is due; called about ten times per second, and after a crash. */
+    /**
+     * Sends what is due; called about ten times per second, after a crash, and after an operator
+     * released a request.
+     */
     public synchronized void tick() {
         Peers peers = mPeers.get();
         if (peers.successors().isEmpty()) {
--- a/src/main/java/org/apricotgauge/decision/ratelimit/DistributedRateLimiter.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/DistributedRateLimiter.java
@@ -24,11 +24,12 @@
  * limiter.expire(nowMillis);   // every few milliseconds while requests are pending
  * }</pre>
  *
- * <p>The request goes to the owner of the member, then to the backup owner, which forwards it to
- * the owner, since possibly only the path between requester and owner is broken. The backup owner
- * grants tokens itself if the owner does not respond to it either. Each member has at most one
- * pending request; callers that arrive meanwhile share the next one. Time and messages are passed
- * in and out. Not thread-safe; the caller must synchronize.
+ * <p>A request goes to the owner of the member. If the owner does not respond, the request goes to
+ * the backup owner, which forwards it to the owner, since only the path between requester and owner
+ * may be broken. The backup owner grants tokens itself if the owner does not respond to it either.
+ * Each member has at most one pending request; callers that arrive meanwhile share the next one.
+ * The time and received messages are passed in; messages are sent through a {@link Sender}. Not
+ * thread-safe; the caller must synchronize.
  */
 public final class DistributedRateLimiter {
     /** Timeout of a request, in milliseconds. */
@@ -71,7 +72,7 @@
         void send(Address to, TokenMessage message);
     }
 
-    /** State of a request; the owner is retried, so that a lost datagram adds no second grantor. */
+    /** State of a request; retrying the owner avoids a second grantor after a lost datagram. */
     private enum Stage {
         OWNER,
         OWNER_RETRY,
@@ -86,7 +87,7 @@
      * @param id identifies the request
      * @param stage state of the request
      * @param grantor the node that is to grant the tokens; null if this node is
-     * @param waiting the callers that it is for
+     * @param waiting callbacks of the callers that wait for the response
      * @param deadlineMillis when the request times out
      */
     private record PendingRequest(
@@ -280,8 +281,8 @@
         mSender.send(to, new TokenMessage.Request(id, member, waiting.size(), false));
     }
 
-    // Lost datagrams make an owner look unresponsive that grants to others; its response to a probe
-    // ends that at once.
+    // Lost datagrams can make an owner that still grants tokens to others appear unresponsive; its
+    // response to a probe corrects this at once.
     private void probe(Address owner, String member) {
         mSender.send(owner, new TokenMessage.Request(mNextId++, member, 0, true));
     }
--- a/src/main/java/org/apricotgauge/decision/ratelimit/FallbackQuota.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/FallbackQuota.java
@@ -8,8 +8,8 @@
 /**
  * Grants requests locally while neither the owner nor the backup owner can grant tokens.
  *
- * <p>The operator tolerates some requests beyond a limit. Half of those of a window are assigned to
- * the nodes that come first in the member's order, one each, so that their sum is bounded however
+ * <p>The operator tolerates some requests beyond a limit. Half of those tolerated in a window are
+ * assigned to the first nodes in the member's order, one each, so that their sum is bounded however
  * many nodes are isolated. Not thread-safe.
  */
 public final class FallbackQuota {
@@ -49,7 +49,8 @@
     }
 
     /**
-     * Grants a request if this node has one to grant and has not used it in the current window.
+     * Grants a request if one is assigned to this node and the node has granted none to the member
+     * within the last window.
      *
      * @param rank how many nodes precede this one in the member's order
      */
--- a/src/main/java/org/apricotgauge/decision/ratelimit/MemberOwners.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/MemberOwners.java
@@ -66,7 +66,7 @@
         return owner(member).equals(mSelf);
     }
 
-    /** Returns up to {@code count} other nodes, selected by the number. */
+    /** Returns up to {@code count} other nodes; {@code number} determines which. */
     public List<Address> otherNodes(long number, int count) {
         int others = mNodes.length - 1;
         List<Address> selected = new ArrayList<>(count);
--- a/src/main/java/org/apricotgauge/decision/ratelimit/MemberTokenBuckets.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/MemberTokenBuckets.java
@@ -13,9 +13,9 @@
  * }</pre>
  *
  * <p>A new bucket may replace one at another node, or at this node before a restart, whose saved
- * tokens are already spent. It therefore starts with the tokens of a quarter of a second, at an
- * owner also with those of the time since the fleet last changed, so that two successive buckets
- * grant little more than one would. Not thread-safe.
+ * tokens are already spent. It therefore starts with the tokens of a quarter of a second; at an
+ * owner, those accrued since the fleet last changed are added. Two successive buckets thus grant
+ * little more than one would. Not thread-safe.
  */
 public final class MemberTokenBuckets {
     /** Initial fill of a new bucket, in seconds of the member's rate. */
--- a/src/main/java/org/apricotgauge/decision/ratelimit/RateLimitDecision.java
+++ b/src/main/java/org/apricotgauge/decision/ratelimit/RateLimitDecision.java
@@ -1,6 +1,6 @@
 package org.apricotgauge.decision.ratelimit;
 
-/** Decision whether the rate limit of its member allows a request. */
+/** The decision whether a request is allowed by the rate limit of its member. */
 public sealed interface RateLimitDecision {
     /** The limit allows the request. */
     RateLimitDecision GRANTED = new Granted();
--- a/src/test/java/org/apricotgauge/decision/gossip/SimulatedGossipFleet.java
+++ b/src/test/java/org/apricotgauge/decision/gossip/SimulatedGossipFleet.java
@@ -82,7 +82,7 @@
             scheduleTick(mIncarnation);
         }
 
-        /** Stops the run; with {@code silently} its peers don't receive the end of their links. */
+        /** Stops the run; if {@code silently}, its peers are not notified that links closed. */
         void stop(boolean silently) {
             mIncarnation++;
             mGossip = null;
--- a/src/test/java/org/apricotgauge/decision/quarantine/CrashGossipTest.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/CrashGossipTest.java
@@ -34,7 +34,8 @@
         }
     }
 
-    // Guards against a node that had not started yet when the records were sent.
+    // Guards against a duplicate that runs at a node which had not started when the records were
+    // sent.
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1})
     void aRestartedNodeCatchesUpInTime(double lossProbability) {
@@ -48,7 +49,8 @@
         }
     }
 
-    // Guards against a node that was partitioned unnoticed when the records were sent.
+    // Guards against a duplicate that runs at a node which was partitioned, without detecting it,
+    // when the records were sent.
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1})
     void aNodeCatchesUpInTimeAfterAPartition(double lossProbability) {
@@ -63,7 +65,8 @@
         }
     }
 
-    // Guards against too few crashes for a quarantine on each side of a partition.
+    // Guards against a request that is not quarantined because each side of a partition observed
+    // too few of its crashes.
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1})
     void bothSidesOfAPartitionMergeTheirCrashesOnceItHeals(double lossProbability) {
@@ -78,7 +81,8 @@
         }
     }
 
-    // Guards against a guard that crashes with its target before any node requests its records.
+    // Guards against the loss of crashes when a guard crashes with its target before any node
+    // requests the guard's records.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void crashesReportedByANodeSurviveItsRestart(long seed) {
--- a/src/test/java/org/apricotgauge/decision/quarantine/QuarantineSimulationTest.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/QuarantineSimulationTest.java
@@ -97,8 +97,9 @@
                 int guard = mRandom.nextInt(NODES);
                 boolean quarantined =
                         isQuarantined(entry, popular) || isQuarantined(guard, popular);
-                boolean excused = mFleet.nowMillis() - mLastCrashMillis < PROPAGATION_BOUND_MILLIS;
-                if (quarantined && !excused && isSettled(entry) && isSettled(guard)) {
+                boolean crashedRecently =
+                        mFleet.nowMillis() - mLastCrashMillis < PROPAGATION_BOUND_MILLIS;
+                if (quarantined && !crashedRecently && isSettled(entry) && isSettled(guard)) {
                     mLateRefusals++;
                 }
                 if (!quarantined && isUp(guard)) {
--- a/src/test/java/org/apricotgauge/decision/quarantine/QuarantineTableTest.java
+++ b/src/test/java/org/apricotgauge/decision/quarantine/QuarantineTableTest.java
@@ -56,7 +56,7 @@
         assertThat(mTable.remainingQuarantineMillis(POPULAR)).isZero();
     }
 
-    // Guards against the same when another node observed the successful run and reports it late.
+    // Guards against refusing a popular request whose successful run another node reports late.
     @Test
     void aSuccessAtAnotherNodeReleasesARequest() {
         crashThrice(POPULAR);
@@ -81,7 +81,7 @@
         assertThat(mTable.remainingQuarantineMillis(POPULAR)).isZero();
     }
 
-    // Guards against a request that crashes targets only since a new release of theirs.
+    // Guards against clearing a request that crashes targets only since their latest release.
     @Test
     void anOldSuccessClearsNothing() {
         mTable.recordSuccess(LETHAL);
--- a/src/test/java/org/apricotgauge/decision/ratelimit/DistributedRateLimiterTest.java
+++ b/src/test/java/org/apricotgauge/decision/ratelimit/DistributedRateLimiterTest.java
@@ -113,7 +113,8 @@
         assertThat(mDecisions).containsExactly(RateLimitDecision.GRANTED);
     }
 
-    // Guards against the same when the owner is restored: its response to a probe makes it usable.
+    // Guards against two nodes granting tokens after the owner is restored: once it has responded
+    // to a probe, requests go to it again.
     @Test
     void anOwnerThatRespondsAgainIsUsedAgain() {
         DistributedRateLimiter limiter = limiter(nodeOfRank(3));
--- a/src/test/java/org/apricotgauge/decision/ratelimit/FallbackQuotaTest.java
+++ b/src/test/java/org/apricotgauge/decision/ratelimit/FallbackQuotaTest.java
@@ -5,7 +5,7 @@
 import org.apricotgauge.model.RateLimit;
 import org.junit.jupiter.api.Test;
 
-/** Tests what all isolated nodes together grant. */
+/** Tests how many requests all isolated nodes grant together. */
 class FallbackQuotaTest {
     private static final RateLimit LIMIT = new RateLimit(8, 8);
     private static final FallbackQuota.Tolerance TOLERANCE =
--- a/src/test/java/org/apricotgauge/decision/ratelimit/MemberOwnersTest.java
+++ b/src/test/java/org/apricotgauge/decision/ratelimit/MemberOwnersTest.java
@@ -24,7 +24,7 @@
         }
     }
 
-    // Guards against a removed node after which the tokens of all members are counted anew.
+    // Guards against counting the tokens of all members anew when one node is removed.
     @Test
     void removingANodeMovesOnlyItsMembers() {
         MemberOwners before = owners(0, NODES);
--- a/src/test/java/org/apricotgauge/decision/ratelimit/MemberTokenBucketsTest.java
+++ b/src/test/java/org/apricotgauge/decision/ratelimit/MemberTokenBucketsTest.java
@@ -29,7 +29,7 @@
         assertThat(grant(1, LATER_MILLIS + 100).granted()).isEqualTo(1);
     }
 
-    // Guards against an owner that is killed and restarted to grant its saved tokens twice.
+    // Guards against an owner that grants its saved tokens again after being killed and restarted.
     @Test
     void aNewBucketIsNotFull() {
         MemberTokenBuckets restarted =
