--- a/src/main/java/org/apricotgauge/directory/ConfirmationTracker.java
+++ b/src/main/java/org/apricotgauge/directory/ConfirmationTracker.java
@@ -31,7 +31,8 @@
     /**
      * The times recorded so far.
      *
-     * @param confirmedAtMillis when the platform last held nothing that this node lacks
+     * @param confirmedAtMillis when the platform was last known to hold nothing that this node
+     *     lacks
      * @param readAtMillis the same, only from reads of this node
      * @param answeredAtMillis when the platform last answered any node
      * @param recoveredAtMillis when this node detected the end of the platform's last outage
@@ -47,7 +48,7 @@
         mState = new AtomicReference<>(new State(nowMillis, nowMillis, nowMillis, NEVER));
     }
 
-    /** Records a read by which the platform held nothing at that time that this node lacks. */
+    /** Records a read; it shows that the platform then held nothing that this node lacks. */
     void recordRead(long atMillis, long nowMillis) {
         mState.updateAndGet(
                 state -> {
@@ -60,7 +61,7 @@
                 });
     }
 
-    /** Records the same as reported by another node, in an answer to this one. */
+    /** Records another node's answer that the platform then held nothing that this node lacks. */
     void recordPeerConfirmation(long atMillis, long nowMillis) {
         mState.updateAndGet(state -> withConfirmation(state, atMillis, nowMillis));
     }
--- a/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
+++ b/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
@@ -30,7 +30,10 @@
  * work runs on one worker thread.
  */
 public final class DirectoryFeed implements AutoCloseable {
-    /** Watch duration; each costs a platform call. For broken ones see {@link #refreshIfStale}. */
+    /**
+     * Duration of a watch, in milliseconds. Each watch of the platform costs a call; a watch that
+     * no longer works is detected by the age of the view, see {@link #refreshIfStale}.
+     */
     static final long WATCH_MILLIS = 10_000;
 
     /** Answer timeout beyond the requested wait, in ms; answers take 4 ms, slow ones 250 ms. */
@@ -38,7 +41,7 @@
 
     /**
      * Pause after a page with changes from the platform, so that the changes of the next 0.3 s come
-     * in one call. A version still takes effect well within the 2 s that it may take.
+     * in one call. A version still takes effect well within its limit of 2 s.
      */
     static final long PLATFORM_BATCHING_MILLIS = 300;
 
@@ -62,7 +65,6 @@
     private final ParentLink mParent;
     private final WaitingReaders mReaders;
     private final PeerHints mHints;
-
     private final SiteWatch mWatch;
     private final PlatformLink mPlatform;
 
@@ -143,10 +145,9 @@
     }
 
     /**
-     * Returns whether the view is recent enough to send work to targets; cheap and thread-safe.
-     *
-     * <p>A target may have left since the last confirmation, and accepts requests for a bounded
-     * time after that. While the platform does not answer, the last known targets stay in use.
+     * Returns whether the view is recent enough to send work to targets; cheap and thread-safe. A
+     * target may have left since the last confirmation, and accepts requests for a bounded time
+     * after that. While the platform does not answer, the last known targets stay in use.
      */
     public boolean isCurrent() {
         return mViewAge.ageMillis() <= mParts.times().maxUsableAgeMillis()
@@ -200,7 +201,7 @@
         return new SiteView(newestRevision(), ageMillis);
     }
 
-    /** Returns the complete revision and its age by own reads, to report to other nodes. */
+    /** Returns the view to report to other nodes; only reads of this node count for its age. */
     public SiteView reportedView() {
         long ageMillis = mViewAge.reportedMillis();
         return new SiteView(mSite.items().revision(), ageMillis);
--- a/src/main/java/org/apricotgauge/directory/ItemTable.java
+++ b/src/main/java/org/apricotgauge/directory/ItemTable.java
@@ -9,7 +9,7 @@
 import org.pcollections.PMap;
 
 /**
- * An immutable table of all published items that one node knows.
+ * An immutable table of all published items that a node has.
  *
  * <pre>{@code
  * ItemTable next = table.with(page);
@@ -64,7 +64,7 @@
         return mRevision;
     }
 
-    /** Returns the revision of the newest change, whenever the table was last read. */
+    /** Returns the revision of the newest change; reads without changes do not raise it. */
     public long newestRevision() {
         return mNewestRevision;
     }
@@ -144,7 +144,7 @@
      * seen all changes since.
      *
      * <p>A full read contains no tombstones of keys removed before it. A reader that has such a key
-     * would never learn of its removal from the changes alone, and would keep using a removed
+     * would never receive its removal with the changes alone, and would keep using a removed
      * target.
      */
     public PublishedPage changesAfter(long revision) {
--- a/src/main/java/org/apricotgauge/directory/ParentLink.java
+++ b/src/main/java/org/apricotgauge/directory/ParentLink.java
@@ -29,7 +29,7 @@
      * @param parts dependencies of the feed
      * @param log logs the state of other nodes
      * @param pageListener receives the pages of the queried node
-     * @param onStillStale runs after a query that brought no fresher view
+     * @param onStillStale runs after a query that returned no view that is fresh enough
      */
     ParentLink(
             DirectoryFeed.Parts parts,
@@ -115,7 +115,7 @@
         mSuspects.recordFailure(node, mParts.ticker().millis());
     }
 
-    /** Ends a query that timed out. */
+    /** Fails the pending query if it timed out. */
     void expire(long nowMillis) {
         mQuery.expire(nowMillis);
     }
@@ -125,7 +125,7 @@
         mQuery.cancel();
     }
 
-    // A node whose page has no known age knows no more of the platform than this node.
+    // A node that does not know the age of its page cannot confirm this node's view.
     private void suspectIfAgeUnknown(Address node, PublishedPage page) {
         if (!page.isAgeKnown()) {
             suspect(node, "age of its view is unknown");
@@ -168,7 +168,7 @@
                 return;
             }
             if (mQueriedNode.equals(mConfirmer) && page.isAgeKnown()) {
-                suspect(mQueriedNode, "its view is no fresher");
+                suspect(mQueriedNode, "its view is too stale");
             }
             mOnStillStale.run();
         }
--- a/src/main/java/org/apricotgauge/directory/PeerHints.java
+++ b/src/main/java/org/apricotgauge/directory/PeerHints.java
@@ -42,7 +42,7 @@
      *
      * @param revision the revision
      * @param peer the peer that reported it; null before the first hint
-     * @param atMillis when it was reported, or when it was last followed
+     * @param atMillis when it was reported, or when this node last acted on it
      */
     private record Hint(long revision, Address peer, long atMillis) {}
 
@@ -61,11 +61,12 @@
     /**
      * Records the revision of a peer; cheap and thread-safe.
      *
-     * @param isWanted whether to record the peer even if it reports nothing newer
+     * @param needsPeer whether to record the peer even if it reports nothing newer, since this node
+     *     is not ready yet
      */
-    void hint(long revision, Address peer, long nowMillis, boolean isWanted) {
+    void hint(long revision, Address peer, long nowMillis, boolean needsPeer) {
         Hint known = mHint;
-        if (revision > known.revision() || isWanted) {
+        if (revision > known.revision() || needsPeer) {
             mHint = new Hint(Math.max(revision, known.revision()), peer, nowMillis);
         }
     }
@@ -119,7 +120,7 @@
                         mParts.worker());
     }
 
-    /** Called after a pause of this process, during which a pending answer may have waited. */
+    /** Called after a pause of this process, in which a pending answer may have been buffered. */
     void onResumed() {
         mPauseCount++;
     }
--- a/src/main/java/org/apricotgauge/directory/PendingRead.java
+++ b/src/main/java/org/apricotgauge/directory/PendingRead.java
@@ -7,8 +7,8 @@
  * A read of published items with a timeout; at most one is in progress at a time.
  *
  * <pre>{@code
- * watch.start(source, new PendingRead.Query(revision, waitMillis), deadlineMillis, listener);
- * watch.expire(nowMillis);     // every tick
+ * read.start(source, new PendingRead.Query(revision, waitMillis), deadlineMillis, listener);
+ * read.expire(nowMillis);     // every tick
  * }</pre>
  *
  * <p>Not thread-safe; all listeners run on the worker.
--- a/src/main/java/org/apricotgauge/directory/PlatformLink.java
+++ b/src/main/java/org/apricotgauge/directory/PlatformLink.java
@@ -47,7 +47,7 @@
                                 >= mParts.times().platformTimeoutMillis());
     }
 
-    /** Returns when to retry a lost platform. */
+    /** Returns when to call the platform again after a failed call. */
     long nextRetryMillis() {
         return mNextRetryMillis;
     }
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Ends a query that timed out. */
+    /** Fails the pending query if it timed out. */
     void expire(long nowMillis) {
         mQuery.expire(nowMillis);
     }
--- a/src/main/java/org/apricotgauge/directory/PlatformTimes.java
+++ b/src/main/java/org/apricotgauge/directory/PlatformTimes.java
@@ -18,7 +18,7 @@
 public record PlatformTimes(long servesOnMillis, long heartbeatMillis) {
     /**
      * Time after an outage of the platform within which every live target is registered again, in
-     * milliseconds: about 2 s as specified by the platform, and 0.2 s of delay of a page of
+     * milliseconds: about 2 s as specified by the platform, plus 0.2 s for a delayed page of
      * changes.
      */
     static final long REGISTRATION_RECOVERY_MILLIS = 2_200;
@@ -84,14 +84,14 @@
         return Math.max(1, servesOnMillis * 3 / 20);
     }
 
-    /** Returns the maximum retention of an ended registration while the platform is available. */
+    /** Returns how long an ended registration is retained at most if there was no outage, in ms. */
     long maxRetentionMillis() {
         return servesOnMillis / 2;
     }
 
     /**
-     * Returns for how long after a registration was last known to exist its target may receive
-     * work, in milliseconds; a fifth of the time is left for a late timer and the last hop.
+     * Returns how long a target may receive work after its registration was last known to exist, in
+     * milliseconds; a fifth of the time is left for a late timer and the last hop.
      */
     long workWindowMillis() {
         return servesOnMillis * 4 / 5;
--- a/src/main/java/org/apricotgauge/directory/PublishedPage.java
+++ b/src/main/java/org/apricotgauge/directory/PublishedPage.java
@@ -25,8 +25,8 @@
     }
 
     /** Creates a page with the state of the platform at the time of the answer. */
-    public PublishedPage(long revision, boolean whole, List<PublishedItem> items) {
-        this(revision, whole, items, 0);
+    public PublishedPage(long revision, boolean full, List<PublishedItem> items) {
+        this(revision, full, items, 0);
     }
 
     /** Returns whether the source knows the age of the page. */
--- a/src/main/java/org/apricotgauge/directory/ReaderTree.java
+++ b/src/main/java/org/apricotgauge/directory/ReaderTree.java
@@ -21,10 +21,10 @@
  * Optional<Address> parent = tree.parent(suspects::contains);   // empty: read the platform
  * }</pre>
  *
- * <p>Every node computes the tree alone, by rendezvous hashing over the nodes that it knows; no
- * message is needed. Nodes that know or suspect different nodes may briefly have no reader or two
- * readers of the platform. That costs calls but not correctness, since each node limits the age of
- * its own view and reads the platform itself before the limit is reached.
+ * <p>Every node computes the tree alone, by rendezvous hashing over the nodes of its own list; no
+ * message is needed. While the lists or the suspected nodes differ, a failure domain may briefly
+ * have no reader of the platform, or two. That costs calls but not correctness, since each node
+ * limits the age of its own view and reads the platform itself before the limit is reached.
  */
 public final class ReaderTree {
     /**
@@ -81,7 +81,7 @@
         return RendezvousOrder.of(failureDomain, guards, Address::toString);
     }
 
-    /** Returns the tree of a node that knows no other node. */
+    /** Returns the tree of a node that has no other node in its list. */
     static ReaderTree ofSingleNode() {
         return new ReaderTree(new Node(new Address("0.0.0.0", 1), ""), List.of());
     }
--- a/src/main/java/org/apricotgauge/directory/SiteDirectory.java
+++ b/src/main/java/org/apricotgauge/directory/SiteDirectory.java
@@ -25,8 +25,8 @@
  * <p>Versions never decrease. A process of a target that registers under the name of an earlier one
  * replaces it, and inherits none of its state. A target that announces that it is leaving receives
  * no new work from then on. One whose registration ends without a leaving notice may have crashed,
- * or may still serve and have lost only the platform; it is retained until a time given by the
- * caller, within which a live target registers again. Not thread-safe.
+ * or may still serve and be disconnected only from the platform; it is retained until a time given
+ * by the caller, within which a live target registers again. Not thread-safe.
  */
 public final class SiteDirectory {
     /** A registration, with the order in which the target's process first registered. */
@@ -129,9 +129,9 @@
             reportChange(known, before, presenceOf(registration.name()));
             return wasRetained;
         }
-        boolean sameRun =
+        boolean isSameProcess =
                 known != null && known.registration().target().equals(registration.target());
-        long order = sameRun ? known.order() : mNextOrder++;
+        long order = isSameProcess ? known.order() : mNextOrder++;
         Entry entry = new Entry(registration, order);
         mRegistrations.put(registration.name(), entry);
         reportChange(entry, before, presenceOf(registration.name()));
--- a/src/main/java/org/apricotgauge/directory/SiteWatch.java
+++ b/src/main/java/org/apricotgauge/directory/SiteWatch.java
@@ -64,7 +64,7 @@
         mNextStartMillis = mParts.ticker().millis() + pauseMillis;
     }
 
-    /** Ends a read that timed out. */
+    /** Fails the read in progress if it timed out. */
     void expire(long nowMillis) {
         mRead.expire(nowMillis);
     }
--- a/src/main/java/org/apricotgauge/directory/ViewAgeTracker.java
+++ b/src/main/java/org/apricotgauge/directory/ViewAgeTracker.java
@@ -83,7 +83,7 @@
         mWasRead = true;
     }
 
-    /** Records another node's report that the platform held nothing unknown at that time. */
+    /** Records another node's answer that the platform then held nothing that this node lacks. */
     void recordPeerConfirmation(long atMillis) {
         mConfirmations.recordPeerConfirmation(atMillis, mClock.millis());
     }
--- a/src/main/java/org/apricotgauge/directory/WaitingReaders.java
+++ b/src/main/java/org/apricotgauge/directory/WaitingReaders.java
@@ -7,8 +7,8 @@
 import org.apricotgauge.model.Checks;
 
 /**
- * Holds the requests of nodes that read the site from this one until they can be answered: at a
- * change, or once the view is fresh enough.
+ * Queues the requests of nodes that read the site from this one. A request is answered at a change
+ * or once the view is fresh enough, whichever it requested, and at its timeout at the latest.
  *
  * <pre>{@code
  * readers.submit(afterRevision, waitMillis, answer, nowMillis);
@@ -33,13 +33,13 @@
         /** Returns the age of the view, in milliseconds. */
         long ageMillis();
 
-        /** Returns whether the age is known; it is not right after a start or a pause. */
+        /** Returns whether the age is known; it is unknown right after a start or a pause. */
         boolean isAgeKnown();
 
         /** Requests a fresher view; returns false if no source is available. */
         boolean requestRefresh();
 
-        /** Called after a request for a fresher view timed out and got the present one. */
+        /** Called after a request for a fresher view timed out and was answered with this view. */
         void onStaleAnswer();
     }
 
--- a/src/test/java/org/apricotgauge/directory/DirectoryFeedTest.java
+++ b/src/test/java/org/apricotgauge/directory/DirectoryFeedTest.java
@@ -54,8 +54,8 @@
             return mCalls.get(mCalls.size() - 1);
         }
 
-        void answer(long revision, boolean whole, PublishedItem... items) {
-            last().answer().complete(new PublishedPage(revision, whole, List.of(items)));
+        void answer(long revision, boolean full, PublishedItem... items) {
+            last().answer().complete(new PublishedPage(revision, full, List.of(items)));
         }
 
         void fail() {
@@ -80,8 +80,8 @@
 
     @Test
     void newNodeRefusedByPlatformBecomesReadyFromPeer() {
-        // The platform refuses this node and serves the others. The node knows no peer until the
-        // first hop of another entry carries its address; its callers would be refused meanwhile.
+        // The platform refuses this node and serves the others. The node has no peer's address
+        // until the first hop of another entry carries it; its callers would be refused meanwhile.
         mFeed.start();
         mPlatform.fail();
         mFeed.hint(5, PEER);
--- a/src/test/java/org/apricotgauge/directory/LeavingTargetTest.java
+++ b/src/test/java/org/apricotgauge/directory/LeavingTargetTest.java
@@ -45,6 +45,7 @@
     /** Latency of another guard's view report on such a link. */
     private static final long PEER_VIEW_LATENCY_MILLIS = 1_200;
 
+    /** Age of the view in such a report. */
     private static final long PEER_VIEW_AGE_MILLIS = 300;
 
     private final ManualTicker mTicker = new ManualTicker();
@@ -161,7 +162,7 @@
     }
 
     /**
-     * Guards against work for a target that left, from a node that received nothing for a while.
+     * Guards against work for a target that left, sent by a node that received no page for a while.
      */
     @Test
     void endedRegistrationIsNotRetainedWhileOthersReadPlatform() {
--- a/src/test/java/org/apricotgauge/directory/ReaderSimulationTest.java
+++ b/src/test/java/org/apricotgauge/directory/ReaderSimulationTest.java
@@ -25,8 +25,8 @@
 
         System.out.printf(
                 "calls in 20 s without changes: 24 nodes %d, 120 nodes %d%n", small, large);
-        // The site queries as often as its view must be refreshed, for all nodes together; and one
-        // node of each failure domain watches.
+        // Allowed: one query for all nodes together each time that the view must be refreshed, and
+        // the watches of one node per failure domain.
         long watches = 3 * (20 * SECOND_MILLIS / DirectoryFeed.WATCH_MILLIS + 1);
         long maxCalls = 20 * SECOND_MILLIS / SimulatedSite.TIMES.maxFreshAgeMillis() + 1 + watches;
         assertThat(small).isLessThan(maxCalls);
--- a/src/test/java/org/apricotgauge/directory/SimulatedSite.java
+++ b/src/test/java/org/apricotgauge/directory/SimulatedSite.java
@@ -31,7 +31,7 @@
     static final long STABLE_MILLIS = 3_000;
 
     static {
-        // Hundreds of nodes lose and regain the platform in a second of test.
+        // Hundreds of nodes would log the loss and return of the platform in a second of test.
         ((Logger) LoggerFactory.getLogger(DirectoryFeed.class)).setLevel(Level.OFF);
     }
 
--- a/src/test/java/org/apricotgauge/directory/SiteDirectoryTest.java
+++ b/src/test/java/org/apricotgauge/directory/SiteDirectoryTest.java
@@ -110,7 +110,7 @@
     @Test
     void olderWriteDoesNotUndoLeaving() {
         Target target = new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3);
-        Target nextRun = new Target("a_2", "s", "vm", "here", "127.0.0.1", 1, 3);
+        Target nextProcess = new Target("a_2", "s", "vm", "here", "127.0.0.1", 1, 3);
         apply(new SiteChange.Registered(new Registration("a", target, true, 8, 0)), 0);
 
         assertThat(apply(new SiteChange.Registered(new Registration("a", target, false, 7, 0)), 10))
@@ -119,7 +119,7 @@
                 .extracting(Registration::leaving)
                 .containsExactly(true);
 
-        apply(new SiteChange.Registered(new Registration("a", nextRun, false, 1, 0)), 20);
+        apply(new SiteChange.Registered(new Registration("a", nextProcess, false, 1, 0)), 20);
         assertThat(mDirectory.registrations())
                 .extracting(Registration::leaving)
                 .containsExactly(false);
@@ -129,7 +129,7 @@
     @Test
     void olderWriteDoesNotRestoreEndedTarget() {
         Target target = new Target("a", "s", "vm", "here", "127.0.0.1", 1, 3);
-        Target nextRun = new Target("a_2", "s", "vm", "here", "127.0.0.1", 1, 3);
+        Target nextProcess = new Target("a_2", "s", "vm", "here", "127.0.0.1", 1, 3);
         apply(new SiteChange.Registered(new Registration("a", target, true, 8, 0)), 0);
         apply(new SiteChange.Unregistered("a"), 10);
 
@@ -137,7 +137,7 @@
                 .isFalse();
         assertThat(mDirectory.registrations()).isEmpty();
 
-        apply(new SiteChange.Registered(new Registration("a", nextRun, false, 1, 0)), 30);
+        apply(new SiteChange.Registered(new Registration("a", nextProcess, false, 1, 0)), 30);
         assertThat(mDirectory.registrations())
                 .extracting(registration -> registration.target().id())
                 .containsExactly("a_2");
