--- a/src/main/java/org/apricotgauge/caller/CallerExchange.java
+++ b/src/main/java/org/apricotgauge/caller/CallerExchange.java
@@ -170,21 +170,21 @@
         }
     }
 
-    /** Records that the guard of the current attempt has charged the next run to its allowance. */
+    /** Records that the guard of the current attempt has prepaid a retry from its budget. */
     void onRetryPrepaid(TargetAttempt attempt) {
         synchronized (this) {
             mNextRetryPrepaid |= attempt == mCurrentAttempt;
         }
     }
 
-    /** Returns whether the guard of the previous run has charged this one to its allowance. */
+    /** Returns whether the guard of the previous run has prepaid this retry. */
     boolean isRetryPrepaid() {
         synchronized (this) {
             return mRetryPrepaid;
         }
     }
 
-    // A payment covers all attempts up to the first that reaches a target.
+    // A prepayment covers all attempts up to the first that reaches a target.
     private void updateRetryPrepaid(boolean reached) {
         if (reached) {
             mRetryPrepaid = mNextRetryPrepaid;
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Returns the risk tolerance of the current attempt. */
+    /** Returns the target restriction of the current attempt. */
     HealthGate.TargetRestriction targetRestriction() {
         synchronized (this) {
             return mSelector.isLastResort()
--- a/src/main/java/org/apricotgauge/caller/ExchangeReporter.java
+++ b/src/main/java/org/apricotgauge/caller/ExchangeReporter.java
@@ -38,14 +38,14 @@
     }
 
     /** Records that the request is sent to a target, and the view of the site it is based on. */
-    void recordSend(Candidate candidate, String riskTolerance) {
+    void recordSend(Candidate candidate, String targetRestriction) {
         SiteView view = mContext.observer().siteView();
         recordStep(
                 candidate.target().id()
                         + " at "
                         + candidate.target().host()
                         + ' '
-                        + riskTolerance
+                        + targetRestriction
                         + " by revision "
                         + view.revision()
                         + " of "
--- a/src/main/java/org/apricotgauge/decision/attempt/NotRunReason.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/NotRunReason.java
@@ -24,7 +24,7 @@
     TARGET_UNREACHABLE,
     /** The target shed the request and reported that it did not run it. */
     TARGET_SHED,
-    /** The target is suspect, and the request must not take the risk. */
+    /** The target is suspect, and the request's target restriction excludes it. */
     TARGET_SUSPECT,
     /** The attempt was a retry, and the service's retry budget is exhausted. */
     RETRIES_SPENT,
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryPolicy.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryPolicy.java
@@ -83,11 +83,11 @@
     }
 
     /**
-     * Returns the risk that the next attempt may take.
+     * Returns the target restriction of the next attempt.
      *
      * <p>An idempotent request may probe a suspect target as long as it has another run left; its
-     * last run takes no more risk than a non-idempotent request. The last attempt accepts any
-     * target, since a refusal would fail the request in any case.
+     * last run has the same restriction as a non-idempotent request. The last attempt has no
+     * restriction, since a refusal would fail the request in any case.
      *
      * @param maxRuns most targets that may run the request, as configured for its route
      */
--- a/src/main/java/org/apricotgauge/decision/health/HealthGate.java
+++ b/src/main/java/org/apricotgauge/decision/health/HealthGate.java
@@ -6,7 +6,7 @@
  * Decides which requests may start at a target while it may be degraded.
  *
  * <pre>{@code
- * if (!gate.mayStart(RiskTolerance.STEADY, nowMillis)) {
+ * if (!gate.mayStart(TargetRestriction.STEADY, nowMillis)) {
  *     return notRun(NotRunReason.TARGET_SUSPECT);   // the entry tries another target
  * }
  * HealthGate.Run run = gate.started("route-7", nowMillis);
@@ -47,16 +47,22 @@
     private long mLastProbeMillis = Long.MIN_VALUE / 2;
     private long mLastFailedStartMillis = Long.MIN_VALUE / 2;
 
-    /** Risk that a request may take of failing at its target; sent between nodes by name. */
+    /** Which targets a request may go to; sent between nodes by name. */
     public enum TargetRestriction {
         /**
-         * Lowest risk: the request is not idempotent, or has no further run left, and starts only
-         * at a target below {@link HealthGate#NON_IDEMPOTENT_LIMIT}.
+         * Only to a target whose probability of being degraded is below {@link
+         * HealthGate#NON_IDEMPOTENT_LIMIT}; for a request that is not idempotent, or that has no
+         * further run left.
          */
         STEADY,
-        /** The request is idempotent and may probe a suspect target. */
+        /**
+         * May also probe a suspect target; for an idempotent request that has a further run left.
+         */
         MAY_TRY,
-        /** Any risk: no other target or no further attempt is left. */
+        /**
+         * No restriction, since no other target or no further attempt is left; also assumed for
+         * requests from entries of older releases, which don't send the restriction.
+         */
         NONE
     }
 
@@ -100,13 +106,13 @@
     }
 
     /** Returns whether a request may start at the target now. */
-    public synchronized boolean mayStart(TargetRestriction riskTolerance, long nowMillis) {
-        Checks.notNull("riskTolerance", riskTolerance);
+    public synchronized boolean mayStart(TargetRestriction targetRestriction, long nowMillis) {
+        Checks.notNull("targetRestriction", targetRestriction);
         double probability = mFilter.probabilityAt(nowMillis);
-        if (riskTolerance == TargetRestriction.STEADY) {
+        if (targetRestriction == TargetRestriction.STEADY) {
             return probability < NON_IDEMPOTENT_LIMIT;
         }
-        if (riskTolerance == TargetRestriction.NONE || probability < SUSPECT_PROBABILITY) {
+        if (targetRestriction == TargetRestriction.NONE || probability < SUSPECT_PROBABILITY) {
             return true;
         }
         if (probability > MAX_PROBE_PROBABILITY
--- a/src/main/java/org/apricotgauge/http/HeaderNames.java
+++ b/src/main/java/org/apricotgauge/http/HeaderNames.java
@@ -71,7 +71,7 @@
     /** Value of {@link #RETRY}: the request that this nested call is made for is retried. */
     public static final String RETRY_OF_PARENT = "parent";
 
-    /** Hops: risk tolerance of the request; see {@code HealthGate.RiskTolerance}. */
+    /** Hops: target restriction of the request; see {@code HealthGate.TargetRestriction}. */
     public static final String TARGET_RESTRICTION = "Apricotgauge-Caution";
 
     /** Hops: whether the request may wait for a slot; see {@code QueueingPolicy}. */
--- a/src/main/java/org/apricotgauge/target/GuardHandler.java
+++ b/src/main/java/org/apricotgauge/target/GuardHandler.java
@@ -405,12 +405,13 @@
                 () -> mContext.observer().onRetryStarted(id));
     }
 
-    // Entries of older releases don't send the header; NONE lets their requests start at any risk.
+    // Entries of older releases don't send the header; their requests have no target restriction.
     private static HealthGate.TargetRestriction targetRestrictionOf(Request request) {
         String value = request.getHeaders().get(HeaderNames.TARGET_RESTRICTION);
-        for (HealthGate.TargetRestriction riskTolerance : HealthGate.TargetRestriction.values()) {
-            if (riskTolerance.name().toLowerCase(Locale.ROOT).equals(value)) {
-                return riskTolerance;
+        for (HealthGate.TargetRestriction targetRestriction :
+                HealthGate.TargetRestriction.values()) {
+            if (targetRestriction.name().toLowerCase(Locale.ROOT).equals(value)) {
+                return targetRestriction;
             }
         }
         return HealthGate.TargetRestriction.NONE;
--- a/src/main/java/org/apricotgauge/target/GuardedRequest.java
+++ b/src/main/java/org/apricotgauge/target/GuardedRequest.java
@@ -91,9 +91,9 @@
             Request request,
             Response response,
             Callback callback,
-            HealthGate.TargetRestriction riskTolerance,
+            HealthGate.TargetRestriction targetRestriction,
             RetryCharge retryCharge) {
-        mTargetRestriction = riskTolerance;
+        mTargetRestriction = targetRestriction;
         mArrivedMillis = context.ticker().millis();
         mRunDeadline =
                 RunDeadline.of(
--- a/src/main/java/org/apricotgauge/target/RetryCharge.java
+++ b/src/main/java/org/apricotgauge/target/RetryCharge.java
@@ -12,7 +12,7 @@
  * if (!charge.tryCharge()) {
  *     return notRun(NotRunReason.RETRIES_SPENT);
  * }
- * boolean prepaid = charge.tryPrepayRetry();  // the target failed the request: pays for its retry
+ * boolean prepaid = charge.tryPrepayRetry();  // the target failed the request: prepays its retry
  * }</pre>
  *
  * <p>Each guard has an equal share of the fleet's retry allowance, so that the sum is bounded. The
@@ -36,7 +36,7 @@
         NESTED_CALL_OF_RETRY,
         /** A retry. */
         RETRY,
-        /** A retry that the guard of the previous run has paid for. */
+        /** A retry that the guard of the previous run has prepaid. */
         PREPAID_RETRY
     }
 
--- a/src/main/java/org/apricotgauge/target/SendCheck.java
+++ b/src/main/java/org/apricotgauge/target/SendCheck.java
@@ -9,7 +9,7 @@
  * its first byte is written.
  *
  * <pre>{@code
- * NotRunReason rejection = check.checkAdmitted(riskTolerance, retryCharge); // null if none
+ * NotRunReason rejection = check.checkAdmitted(targetRestriction, retryCharge); // null if none
  * }</pre>
  */
 final class SendCheck {
@@ -26,16 +26,16 @@
     /**
      * Returns why a request that holds a slot may not be sent, or null if it may.
      *
-     * @param riskTolerance how much risk of a degraded target the request tolerates
+     * @param targetRestriction which targets the request may go to
      * @param retryCharge charges the retry budget if the request is a retry
      */
     NotRunReason checkAdmitted(
-            HealthGate.TargetRestriction riskTolerance, RetryCharge retryCharge) {
+            HealthGate.TargetRestriction targetRestriction, RetryCharge retryCharge) {
         NotRunReason rejection = checkTarget();
         if (rejection != null) {
             return rejection;
         }
-        if (!mGate.health().mayStart(riskTolerance, mContext.ticker().millis())) {
+        if (!mGate.health().mayStart(targetRestriction, mContext.ticker().millis())) {
             return NotRunReason.TARGET_SUSPECT;
         }
         return retryCharge.tryCharge() ? null : NotRunReason.RETRIES_SPENT;
--- a/src/test/java/org/apricotgauge/decision/health/EpisodeSimulation.java
+++ b/src/test/java/org/apricotgauge/decision/health/EpisodeSimulation.java
@@ -109,27 +109,27 @@
                 idempotent ? 2 : 1);
     }
 
-    private void send(TargetRestriction riskTolerance, boolean counts, int runs) {
-        for (int target : order(riskTolerance)) {
+    private void send(TargetRestriction targetRestriction, boolean counts, int runs) {
+        for (int target : order(targetRestriction)) {
             HealthGate gate = mGates.get(target);
-            if (gate.mayStart(riskTolerance, mNowMillis)) {
-                start(target, gate, riskTolerance, counts, runs);
+            if (gate.mayStart(targetRestriction, mNowMillis)) {
+                start(target, gate, targetRestriction, counts, runs);
                 return;
             }
         }
-        if (riskTolerance == TargetRestriction.STEADY && counts) {
+        if (targetRestriction == TargetRestriction.STEADY && counts) {
             mRefused++;
             mNonIdempotentFailed += runs == 1 ? 1 : 0;
         }
     }
 
-    private List<Integer> order(TargetRestriction riskTolerance) {
+    private List<Integer> order(TargetRestriction targetRestriction) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < mSite.targets(); i++) {
             all.add(mRandom.nextInt(all.size() + 1), i);
         }
         List<Integer> ordered = new ArrayList<>(all.subList(0, Math.min(mCandidates, all.size())));
-        if (riskTolerance == TargetRestriction.STEADY) {
+        if (targetRestriction == TargetRestriction.STEADY) {
             ordered.sort((a, b) -> Double.compare(probability(a), probability(b)));
         }
         ordered.addAll(all.subList(ordered.size(), all.size()));
@@ -143,7 +143,7 @@
     private void start(
             int target,
             HealthGate gate,
-            TargetRestriction riskTolerance,
+            TargetRestriction targetRestriction,
             boolean counts,
             int runs) {
         boolean fails =
@@ -151,7 +151,7 @@
         long durationMillis = fails ? mSite.failureMillis() : 300 + mRandom.nextInt(600);
         HealthGate.Run run = gate.started(mNowMillis);
         scheduleChecks(gate, run, mNowMillis, durationMillis);
-        schedule(durationMillis, () -> ended(gate, run, fails, riskTolerance, counts, runs));
+        schedule(durationMillis, () -> ended(gate, run, fails, targetRestriction, counts, runs));
     }
 
     private void scheduleChecks(
@@ -170,7 +170,7 @@
             HealthGate gate,
             HealthGate.Run run,
             boolean fails,
-            TargetRestriction riskTolerance,
+            TargetRestriction targetRestriction,
             boolean counts,
             int runs) {
         if (fails && mHangs) {
--- a/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
+++ b/src/test/java/org/apricotgauge/decision/health/HealthGateTest.java
@@ -175,12 +175,12 @@
         for (long now = 0; now < 3_600 * SECOND; now += 250) {
             boolean degraded = now % (9 * SECOND) < 2_700;
             boolean fails = random.nextDouble() < (degraded ? 0.85 : 0.01);
-            TargetRestriction riskTolerance =
+            TargetRestriction targetRestriction =
                     random.nextInt(4) == 0 ? TargetRestriction.MAY_TRY : TargetRestriction.STEADY;
-            if (gate.mayStart(riskTolerance, now)) {
+            if (gate.mayStart(targetRestriction, now)) {
                 ended(gate, fails, now);
-                passed += riskTolerance == TargetRestriction.STEADY ? 1 : 0;
-                failed += riskTolerance == TargetRestriction.STEADY && fails ? 1 : 0;
+                passed += targetRestriction == TargetRestriction.STEADY ? 1 : 0;
+                failed += targetRestriction == TargetRestriction.STEADY && fails ? 1 : 0;
             }
         }
 
--- a/src/test/java/org/apricotgauge/peer/MessageCodecTest.java
+++ b/src/test/java/org/apricotgauge/peer/MessageCodecTest.java
@@ -34,7 +34,8 @@
 
     @Test
     void ignoresFieldsAndTypesOfLaterRelease() throws IOException {
-        // During a rolling upgrade, half the fleet runs a later release with longer messages.
+        // During a rolling upgrade, half the fleet runs a later release, whose messages have more
+        // fields.
         byte[] body =
                 new ObjectMapper(new MessagePackFactory())
                         .writeValueAsBytes(Map.of("sinceRevision", 4, "later", List.of(1, 2)));
