--- a/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
+++ b/src/main/java/org/apricotgauge/caller/GuardedAttempt.java
@@ -56,7 +56,7 @@
     private volatile UpstreamExchange mUpstream;
     private volatile Scheduler.Task mTimeoutTask;
     private volatile boolean mAcknowledged;
-    private volatile boolean mWithheld;
+    private volatile boolean mNotBegun;
 
     GuardedAttempt(CallerExchange exchange, Candidate candidate) {
         mExchange = exchange;
@@ -189,8 +189,8 @@
 
     @Override
     public boolean onBegin() {
-        mWithheld = !mExchange.tryBegin(this);
-        return !mWithheld;
+        mNotBegun = !mExchange.tryBegin(this);
+        return !mNotBegun;
     }
 
     @Override
@@ -262,7 +262,7 @@
     @Override
     public void onFailure(UpstreamExchange.Failure failure) {
         cancelTimeout();
-        if (mWithheld) {
+        if (mNotBegun) {
             end();
             return;
         }
--- a/src/main/java/org/apricotgauge/decision/RendezvousOrder.java
+++ b/src/main/java/org/apricotgauge/decision/RendezvousOrder.java
@@ -16,7 +16,7 @@
  * <p>Adding or removing an element does not change the relative order of the others.
  */
 public final class RendezvousOrder {
-    private record Ranked<T>(T member, String name, long hash) {}
+    private record Ranked<T>(T element, String name, long hash) {}
 
     private RendezvousOrder() {}
 
@@ -33,7 +33,7 @@
                 .sorted(
                         Comparator.<Ranked<T>>comparingLong(Ranked::hash)
                                 .thenComparing(Ranked::name))
-                .map(Ranked::member)
+                .map(Ranked::element)
                 .toList();
     }
 
--- a/src/main/java/org/apricotgauge/decision/attempt/RetryBudget.java
+++ b/src/main/java/org/apricotgauge/decision/attempt/RetryBudget.java
@@ -20,10 +20,10 @@
     private static final long UNITS_PER_TOKEN = 1_000_000;
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    private final long mTokensPerRequest;
+    private final long mUnitsPerRequest;
     private final long mCapacity;
     private final long mRefillPerMilli;
-    private final AtomicLong mTokens;
+    private final AtomicLong mUnits;
     private final AtomicLong mRefilledAtMillis = new AtomicLong(Long.MIN_VALUE);
 
     /**
@@ -34,14 +34,14 @@
      * @param minPerSecond retries allowed per second independent of the traffic
      */
     public RetryBudget(double share, double burst, double minPerSecond) {
-        mTokensPerRequest = Math.round(Checks.inRange("share", share, 0, 1) * UNITS_PER_TOKEN);
+        mUnitsPerRequest = Math.round(Checks.inRange("share", share, 0, 1) * UNITS_PER_TOKEN);
         mCapacity = Math.round(Checks.inRange("burst", burst, 1.0, 100_000.0) * UNITS_PER_TOKEN);
         mRefillPerMilli =
                 Math.round(
                         Checks.inRange("minPerSecond", minPerSecond, 0.0, 1_000.0)
                                 * UNITS_PER_TOKEN
                                 / MILLIS_PER_SECOND);
-        mTokens = new AtomicLong(mCapacity);
+        mUnits = new AtomicLong(mCapacity);
     }
 
     /** Returns an empty budget, for a service that is not configured. */
@@ -57,21 +57,21 @@
     public static RetryBudget startingEmpty(
             long sinceMillis, double share, double burst, double minPerSecond) {
         RetryBudget budget = new RetryBudget(share, burst, minPerSecond);
-        budget.mTokens.set(0);
+        budget.mUnits.set(0);
         budget.mRefilledAtMillis.set(sinceMillis);
         return budget;
     }
 
     /** Counts a first attempt. */
     public void onRequest() {
-        deposit(mTokensPerRequest);
+        deposit(mUnitsPerRequest);
     }
 
     /** Takes a token for one retry if one is available. */
     public boolean tryRetry(long nowMillis) {
         refill(nowMillis);
         long before =
-                mTokens.getAndUpdate(
+                mUnits.getAndUpdate(
                         tokens -> tokens >= UNITS_PER_TOKEN ? tokens - UNITS_PER_TOKEN : tokens);
         return before >= UNITS_PER_TOKEN;
     }
@@ -81,14 +81,14 @@
         refill(nowMillis);
         long minTokens = Math.max(UNITS_PER_TOKEN, mCapacity / 2);
         long before =
-                mTokens.getAndUpdate(
+                mUnits.getAndUpdate(
                         tokens -> tokens >= minTokens ? tokens - UNITS_PER_TOKEN : tokens);
         return before >= minTokens;
     }
 
     /** Takes a token for a retry that happens in any case; a negative budget delays later ones. */
     public void charge() {
-        mTokens.updateAndGet(tokens -> Math.max(-mCapacity, tokens - UNITS_PER_TOKEN));
+        mUnits.updateAndGet(tokens -> Math.max(-mCapacity, tokens - UNITS_PER_TOKEN));
     }
 
     private void refill(long nowMillis) {
@@ -101,6 +101,6 @@
     }
 
     private void deposit(long amount) {
-        mTokens.updateAndGet(tokens -> Math.min(mCapacity, tokens + amount));
+        mUnits.updateAndGet(tokens -> Math.min(mCapacity, tokens + amount));
     }
 }
--- a/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
+++ b/src/main/java/org/apricotgauge/directory/DirectoryFeed.java
@@ -203,7 +203,7 @@
 
     /** Returns the view to report to other nodes; only reads of this node count for its age. */
     public SiteView reportedView() {
-        long ageMillis = mViewAge.reportedMillis();
+        long ageMillis = mViewAge.reportedAgeMillis();
         return new SiteView(mSite.items().revision(), ageMillis);
     }
 
@@ -235,7 +235,7 @@
             mListener.onSiteChanged(mSite.directory());
         }
         followHint(nowMillis);
-        if (mPlatform.isLost() || !mReady.isDone()) {
+        if (mPlatform.lastCallFailed() || !mReady.isDone()) {
             mHints.queryAnyPeer(mSite.items().revision(), nowMillis);
         }
         mReaders.answerDue(nowMillis);
@@ -277,14 +277,14 @@
         if (mIsClosed || !mWatch.isDue(nowMillis)) {
             return;
         }
-        boolean answers = !readsPlatform() || !mPlatform.isLost();
+        boolean answers = !readsPlatform() || !mPlatform.lastCallFailed();
         watch(
                 nowMillis,
                 mSite.items().isInitialized() && mViewAge.wasRead() && answers ? WATCH_MILLIS : 0);
     }
 
     private void watch(long nowMillis, long waitMillis) {
-        Address node = mParent.node();
+        Address node = mParent.parent();
         PendingRead.CompletionListener listener =
                 node == null
                         ? new PlatformWatchListener()
@@ -295,7 +295,7 @@
     /** Handles the end of a platform watch, or of the immediate read that precedes one. */
     private final class PlatformWatchListener implements PendingRead.CompletionListener {
         @Override
-        public void answered(PublishedPage page) {
+        public void onAnswered(PublishedPage page) {
             recordPlatformAnswer();
             // At startup the first page may be stale, and callers are waiting: read again at once.
             boolean readsAtOnce = page.items().isEmpty() || !mViewAge.wasRead();
@@ -304,7 +304,7 @@
         }
 
         @Override
-        public void failed(String reason) {
+        public void onFailed(String reason) {
             recordPlatformFailure(reason);
         }
     }
@@ -326,25 +326,25 @@
     }
 
     private boolean readsPlatform() {
-        return mParent.node() == null;
+        return mParent.parent() == null;
     }
 
     private boolean mayQueryPlatform(long nowMillis) {
         if (readsPlatform()) {
-            return mWatch.isWaiting() && !mPlatform.isLost();
+            return mWatch.isWaiting() && !mPlatform.lastCallFailed();
         }
-        return !mPlatform.isLost() || nowMillis >= mPlatform.nextRetryMillis();
+        return !mPlatform.lastCallFailed() || nowMillis >= mPlatform.nextRetryMillis();
     }
 
     private void refreshWithoutNode() {
-        if (readsPlatform() && !mPlatform.isLost()) {
+        if (readsPlatform() && !mPlatform.lastCallFailed()) {
             refreshFromPlatform(mParts.ticker().millis());
         }
     }
 
     private void refreshFromNode(long nowMillis) {
         long pauseMillis =
-                mPlatform.isLost()
+                mPlatform.lastCallFailed()
                         ? PeerHints.QUERY_INTERVAL_MILLIS
                         : mParts.times().nodeTimeoutMillis();
         mParent.query(mSite.items().revision(), pauseMillis, nowMillis);
@@ -370,10 +370,10 @@
     /** Handles the end of a platform query that confirms the view. */
     private final class PlatformRefreshListener implements PendingRead.CompletionListener {
         @Override
-        public void answered(PublishedPage page) {
+        public void onAnswered(PublishedPage page) {
             recordPlatformAnswer();
             if (!readsPlatform()) {
-                mParent.suspect(mParent.node(), "its view is behind the platform");
+                mParent.suspect(mParent.parent(), "its view is behind the platform");
             } else if (!page.items().isEmpty() && mWatch.isInProgress()) {
                 mLog.logSilentWatch(page.revision());
                 mWatch.pause(PLATFORM_BATCHING_MILLIS);
@@ -381,7 +381,7 @@
         }
 
         @Override
-        public void failed(String reason) {
+        public void onFailed(String reason) {
             recordPlatformFailure(reason);
         }
     }
@@ -399,7 +399,7 @@
     }
 
     private void applyParentPage(PublishedPage page, boolean isTimely) {
-        applyPage(page, mParent.node(), isTimely);
+        applyPage(page, mParent.parent(), isTimely);
     }
 
     private void applyQueriedPage(PublishedPage page, boolean isTimely) {
@@ -463,7 +463,7 @@
 
         @Override
         public long ageMillis() {
-            return mViewAge.reportedMillis();
+            return mViewAge.reportedAgeMillis();
         }
 
         @Override
@@ -473,7 +473,7 @@
 
         @Override
         public boolean requestRefresh() {
-            if (mPlatform.isLost()) {
+            if (mPlatform.lastCallFailed()) {
                 return false;
             }
             long nowMillis = mParts.ticker().millis();
--- a/src/main/java/org/apricotgauge/directory/DirectoryLog.java
+++ b/src/main/java/org/apricotgauge/directory/DirectoryLog.java
@@ -10,7 +10,7 @@
     private static final long LARGE_PAGE_BYTES = 100_000;
 
     private final StateLog mLog = new StateLog(Logger.getLogger(DirectoryFeed.class));
-    private Reading mReading = Reading.EXPIRY;
+    private Reading mChangeOrigin = Reading.EXPIRY;
     private boolean mIsViewStale;
 
     /**
@@ -43,8 +43,8 @@
     private record PeerFailed(String peer, String reason) {}
 
     /** Sets the origin of the target changes that follow. */
-    void setReading(Reading reading) {
-        mReading = reading;
+    void setChangeOrigin(Reading reading) {
+        mChangeOrigin = reading;
     }
 
     /**
@@ -80,7 +80,7 @@
     }
 
     void logTargetChange(TargetChange change) {
-        mLog.info("target changed", new TargetChangeLine(change, mReading));
+        mLog.info("target changed", new TargetChangeLine(change, mChangeOrigin));
     }
 
     void logDecoded(SiteChange change) {
--- a/src/main/java/org/apricotgauge/directory/ParentLink.java
+++ b/src/main/java/org/apricotgauge/directory/ParentLink.java
@@ -19,7 +19,7 @@
     private final PendingRead mQuery;
     private final Runnable mOnStillStale;
     private ReaderTree mTree = ReaderTree.ofSingleNode();
-    private Address mNode;
+    private Address mParent;
     private Address mConfirmer;
     private long mNextQueryMillis;
 
@@ -43,13 +43,13 @@
     }
 
     /** Returns the node to read from; null for the platform. */
-    Address node() {
-        return mNode;
+    Address parent() {
+        return mParent;
     }
 
     /** Returns the node to query for a fresher view; null if only the platform can be queried. */
     Address queriedNode() {
-        return mNode == null ? mConfirmer : mNode;
+        return mParent == null ? mConfirmer : mParent;
     }
 
     ReaderTree tree() {
@@ -73,16 +73,16 @@
         boolean skipsNodes = isStarting && !mSuspects.isEmpty();
         Predicate<Address> isSuspect = node -> skipsNodes || mSuspects.contains(node, nowMillis);
         Address queriedBefore = queriedNode();
-        Address nodeBefore = mNode;
-        mNode = skipsNodes ? null : mTree.parent(isSuspect).orElse(null);
+        Address nodeBefore = mParent;
+        mParent = skipsNodes ? null : mTree.parent(isSuspect).orElse(null);
         mConfirmer = mTree.confirmer(isSuspect).orElse(null);
         if (!Objects.equals(queriedNode(), queriedBefore)) {
             mQuery.cancel();
         }
-        if (Objects.equals(mNode, nodeBefore)) {
+        if (Objects.equals(mParent, nodeBefore)) {
             return false;
         }
-        mLog.logParent(mNode, revision);
+        mLog.logParent(mParent, revision);
         return true;
     }
 
@@ -105,7 +105,7 @@
         mQuery.start(
                 mParts.peers().apply(queriedNode()),
                 new PendingRead.Query(revision, 0),
-                nowMillis + (mNode == null ? timeoutMillis : 2 * timeoutMillis),
+                nowMillis + (mParent == null ? timeoutMillis : 2 * timeoutMillis),
                 new QueryListener(queriedNode()));
     }
 
@@ -141,13 +141,13 @@
     PendingRead.CompletionListener watchListener(Address node, Runnable onAnswered) {
         return new PendingRead.CompletionListener() {
             @Override
-            public void answered(PublishedPage page) {
+            public void onAnswered(PublishedPage page) {
                 suspectIfAgeUnknown(node, page);
                 onAnswered.run();
             }
 
             @Override
-            public void failed(String reason) {
+            public void onFailed(String reason) {
                 suspect(node, reason);
             }
         };
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public void answered(PublishedPage page) {
+        public void onAnswered(PublishedPage page) {
             suspectIfAgeUnknown(mQueriedNode, page);
             if (page.isAgeKnown() && page.ageMillis() <= mParts.times().maxFreshAgeMillis()) {
                 mSuspects.recordSuccess(mQueriedNode);
@@ -174,7 +174,7 @@
         }
 
         @Override
-        public void failed(String reason) {
+        public void onFailed(String reason) {
             suspect(mQueriedNode, reason);
             mOnStillStale.run();
         }
--- a/src/main/java/org/apricotgauge/directory/PendingRead.java
+++ b/src/main/java/org/apricotgauge/directory/PendingRead.java
@@ -37,10 +37,10 @@
     /** Receives the end of a read, unless it is cancelled or replaced. */
     interface CompletionListener {
         /** Called after an answer. */
-        void answered(PublishedPage page);
+        void onAnswered(PublishedPage page);
 
         /** Called after a rejection, a failure or a timeout. */
-        void failed(String reason);
+        void onFailed(String reason);
     }
 
     /**
@@ -83,9 +83,9 @@
         }
         mIsInProgress = false;
         if (failure == null) {
-            mCompletionListener.answered(page);
+            mCompletionListener.onAnswered(page);
         } else {
-            mCompletionListener.failed(failure.toString());
+            mCompletionListener.onFailed(failure.toString());
         }
     }
 
@@ -93,7 +93,7 @@
     void expire(long nowMillis) {
         if (mIsInProgress && nowMillis >= mDeadlineMillis) {
             mIsInProgress = false;
-            mCompletionListener.failed("no answer in time");
+            mCompletionListener.onFailed("no answer in time");
         }
     }
 
--- a/src/main/java/org/apricotgauge/directory/PlatformLink.java
+++ b/src/main/java/org/apricotgauge/directory/PlatformLink.java
@@ -14,7 +14,7 @@
     private final DirectoryLog mLog;
     private final PendingRead mQuery;
     private final RetryBackoff mRetryBackoff;
-    private volatile boolean mIsLost;
+    private volatile boolean mLastCallFailed;
     private volatile long mQueriedAtMillis = NOT_QUERIED;
     private long mNextRetryMillis;
 
@@ -34,14 +34,14 @@
     }
 
     /** Returns whether the last call to the platform failed. */
-    boolean isLost() {
-        return mIsLost;
+    boolean lastCallFailed() {
+        return mLastCallFailed;
     }
 
     /** Returns whether the last call failed, or the pending query is unanswered for too long. */
     boolean isUnavailable() {
         long queriedAtMillis = mQueriedAtMillis;
-        return mIsLost
+        return mLastCallFailed
                 || (queriedAtMillis != NOT_QUERIED
                         && mParts.ticker().millis() - queriedAtMillis
                                 >= mParts.times().platformTimeoutMillis());
@@ -70,8 +70,8 @@
     void recordAnswer(long revision) {
         mQueriedAtMillis = NOT_QUERIED;
         mRetryBackoff.reset();
-        if (mIsLost) {
-            mIsLost = false;
+        if (mLastCallFailed) {
+            mLastCallFailed = false;
             mLog.logPlatformRegained(revision);
         }
     }
@@ -80,8 +80,8 @@
     void recordFailure(String reason, long revision, ReaderTree tree, long nowMillis) {
         mQueriedAtMillis = NOT_QUERIED;
         mNextRetryMillis = nowMillis + mRetryBackoff.nextMillis(tree);
-        if (!mIsLost) {
-            mIsLost = true;
+        if (!mLastCallFailed) {
+            mLastCallFailed = true;
             mLog.logPlatformLost(reason, revision);
         }
     }
--- a/src/main/java/org/apricotgauge/directory/SiteState.java
+++ b/src/main/java/org/apricotgauge/directory/SiteState.java
@@ -62,7 +62,7 @@
                 after.changedSince(before).stream().map(this::decode).toList();
         boolean changed = false;
         for (DecodedChange change : changes) {
-            mLog.setReading(
+            mLog.setChangeOrigin(
                     new DirectoryLog.Reading(
                             change.revision(),
                             origin.source(),
@@ -72,7 +72,7 @@
                     mDirectory.apply(
                             change.change(), nowMillis, nowMillis + origin.retentionMillis());
         }
-        mLog.setReading(DirectoryLog.Reading.EXPIRY);
+        mLog.setChangeOrigin(DirectoryLog.Reading.EXPIRY);
         return changed;
     }
 
--- a/src/main/java/org/apricotgauge/directory/ViewAgeTracker.java
+++ b/src/main/java/org/apricotgauge/directory/ViewAgeTracker.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns the age to report to other nodes: since the last read, in milliseconds. */
-    long reportedMillis() {
+    long reportedAgeMillis() {
         return mConfirmations.reportedAgeMillis(mClock.millis());
     }
 
--- a/src/main/java/org/apricotgauge/node/Node.java
+++ b/src/main/java/org/apricotgauge/node/Node.java
@@ -58,7 +58,7 @@
     private final MetricRegistry mRegistry = new MetricRegistry();
     private final long mStartedMillis = System.currentTimeMillis();
     private final NodeEvents mEvents;
-    private final OutcomeWindows mWindows = new OutcomeWindows(mTicker, WINDOW_COUNT);
+    private final OutcomeWindows mOutcomeWindows = new OutcomeWindows(mTicker, WINDOW_COUNT);
     private final NodeHttp mHttp;
     private final ScheduledExecutorService mWorker =
             Executors.newSingleThreadScheduledExecutor(Node::newWorkerThread);
@@ -92,7 +92,7 @@
         mQuarantine = new QuarantineService(vm.failureDomain(), mTicker, mEvents, mRegistry);
         mRateLimits =
                 new RateLimitService(mState, mTicker, mHttp, profile.limitTolerance(), mRegistry);
-        VerdictRecorder recorder = new VerdictRecorder(mEvents, mWindows);
+        VerdictRecorder recorder = new VerdictRecorder(mEvents, mOutcomeWindows);
         mDetection =
                 new DetectionService(
                         mState,
@@ -105,7 +105,7 @@
                 new NodeObserver(
                         mState,
                         mDetection,
-                        mWindows,
+                        mOutcomeWindows,
                         mEvents,
                         mTicker,
                         () -> mControl,
@@ -122,7 +122,7 @@
                 new NetworkConnectionLimit(profile.maxCallerConnections(), mCallerServer));
         mGuardServer = servers.create(vm.host(), vm.guardPort(), mGuard, () -> {});
         NodeStatusSource status =
-                new NodeStatusSource(vm, mStartedMillis, mState, mDetection, mWindows);
+                new NodeStatusSource(vm, mStartedMillis, mState, mDetection, mOutcomeWindows);
         mAdmin =
                 new AdminServer(
                         new AdminSources(
@@ -380,7 +380,7 @@
         }
         mState.configurationChanged(version, configuration);
         if (version > before) {
-            mWindows.versionInForce(version);
+            mOutcomeWindows.versionInForce(version);
             mEvents.record(new VersionInForce(version, mark.historyDigest(), mark.position()));
         }
     }
--- a/src/main/java/org/apricotgauge/peer/hop/GuardClient.java
+++ b/src/main/java/org/apricotgauge/peer/hop/GuardClient.java
@@ -43,13 +43,13 @@
     private static final int MAX_CONTROL_BYTES = 256;
 
     /** How long a guard that refused a connection is avoided, in milliseconds. */
-    private static final long CONNECT_FAILURE_HOLD_MILLIS = 500;
+    private static final long AVOIDANCE_AFTER_CONNECT_FAILURE_MILLIS = 500;
 
     /**
      * How long an unresponsive guard is avoided, in milliseconds; a partition seldom heals within a
      * second.
      */
-    private static final long UNRESPONSIVE_HOLD_MILLIS = 1_500;
+    private static final long AVOIDANCE_AFTER_TIMEOUT_MILLIS = 1_500;
 
     private final HttpClient mForwardingClient;
     private final HttpClient mFencingClient;
@@ -84,7 +84,8 @@
      * directly rather than lose the capacity.
      */
     public void onConnectFailed(Address guard) {
-        mUnavailableUntilMillis.put(guard, mTicker.millis() + CONNECT_FAILURE_HOLD_MILLIS);
+        mUnavailableUntilMillis.put(
+                guard, mTicker.millis() + AVOIDANCE_AFTER_CONNECT_FAILURE_MILLIS);
     }
 
     /** Returns whether the guard recently refused a connection or was unresponsive. */
@@ -121,7 +122,7 @@
      */
     public void onUnresponsive(Address guard) {
         HttpClientFactory.evictIdleConnections(mForwardingClient, guard);
-        mUnavailableUntilMillis.put(guard, mTicker.millis() + UNRESPONSIVE_HOLD_MILLIS);
+        mUnavailableUntilMillis.put(guard, mTicker.millis() + AVOIDANCE_AFTER_TIMEOUT_MILLIS);
     }
 
     /** Requests, over a new connection, that the guard refuse the attempt if it arrives late. */
--- a/src/main/java/org/apricotgauge/target/RunMonitor.java
+++ b/src/main/java/org/apricotgauge/target/RunMonitor.java
@@ -100,7 +100,7 @@
             reportOutcome(
                     ObservedOutcome.UNRESPONSIVE, TimeUnit.MILLISECONDS.toMicros(checkAtMillis));
         } else {
-            notifyHealth();
+            reportHealth();
             scheduleHungCheck(
                     checkAtMillis + timeoutMillis / CHECKS_PER_TIMEOUT, timeoutMillis, onFailover);
         }
@@ -142,7 +142,7 @@
         if (!mOutcomeReported.get()) {
             long nowMillis = mContext.ticker().millis();
             mGate.health().stillRunning(run, nowMillis);
-            notifyHealth();
+            reportHealth();
             scheduleHealthCheck(run, nowMillis - mStartMillis);
         }
     }
@@ -166,11 +166,11 @@
         HealthGate.Run run = mRun;
         if (run != null) {
             evidence.accept(run, mContext.ticker().millis());
-            notifyHealth();
+            reportHealth();
         }
     }
 
-    private void notifyHealth() {
+    private void reportHealth() {
         mContext.observer()
                 .onHealthObserved(mGate.target(), mGate.healthReport(), mGate.loadPermille());
     }
--- a/src/test/java/org/apricotgauge/decision/RendezvousOrderTest.java
+++ b/src/test/java/org/apricotgauge/decision/RendezvousOrderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class RendezvousOrderTest {
-    private static final List<String> MEMBERS =
+    private static final List<String> ELEMENTS =
             IntStream.range(0, 50).mapToObj(i -> "vm" + i).toList();
 
     private static List<String> orderOf(String group, List<String> members) {
@@ -20,17 +20,17 @@
 
     @Test
     void doesNotDependOnTheInputOrder() {
-        List<String> shuffled = new ArrayList<>(MEMBERS);
+        List<String> shuffled = new ArrayList<>(ELEMENTS);
         Collections.shuffle(shuffled, new Random(1));
 
-        assertThat(orderOf("a", shuffled)).isEqualTo(orderOf("a", MEMBERS));
-        assertThat(orderOf("b", MEMBERS)).isNotEqualTo(orderOf("a", MEMBERS));
+        assertThat(orderOf("a", shuffled)).isEqualTo(orderOf("a", ELEMENTS));
+        assertThat(orderOf("b", ELEMENTS)).isNotEqualTo(orderOf("a", ELEMENTS));
     }
 
     @Test
-    void removingAMemberKeepsTheOrderOfTheOthers() {
-        List<String> order = orderOf("a", MEMBERS);
-        List<String> remaining = new ArrayList<>(MEMBERS);
+    void removingAnElementKeepsTheOrderOfTheOthers() {
+        List<String> order = orderOf("a", ELEMENTS);
+        List<String> remaining = new ArrayList<>(ELEMENTS);
         remaining.remove(order.get(0));
 
         assertThat(orderOf("a", remaining)).isEqualTo(order.subList(1, order.size()));
--- a/src/test/java/org/apricotgauge/directory/PendingReadTest.java
+++ b/src/test/java/org/apricotgauge/directory/PendingReadTest.java
@@ -21,12 +21,12 @@
     private final PendingRead.CompletionListener mCompletionListener =
             new PendingRead.CompletionListener() {
                 @Override
-                public void answered(PublishedPage page) {
+                public void onAnswered(PublishedPage page) {
                     mNotifications.add("answered");
                 }
 
                 @Override
-                public void failed(String reason) {
+                public void onFailed(String reason) {
                     mNotifications.add("failed");
                 }
             };
